--- a/src/host/entry_host_peers.cpp
+++ b/src/host/entry_host_peers.cpp
@@ -111,7 +111,7 @@
 }
 
 void entry_host::take(const std::string&, const load_news& news) {
-    relay_.state().endpoints.change_peer_load(news.sender, to_loads(news.load), monotonic_now());
+    relay_.state().endpoints.update_peer_load(news.sender, to_loads(news.load), monotonic_now());
 }
 
 std::vector<load_entry> entry_host::own_load() const {
@@ -231,7 +231,7 @@
 }
 
 void entry_host::assign_sponsored_endpoints(time_point now) {
-    const sponsor_view view{gossip_.live(now), now - started_at_ > learning_hosts};
+    const host_view view{gossip_.live(now), now - started_at_ > learning_hosts};
     relay_.state().endpoints.allowance().set_hosts(view, now);
 }
 
@@ -250,7 +250,7 @@
 // top.
 void entry_host::tell_limits() {
     const time_point now = monotonic_now();
-    const std::vector<limit_notice> limits = relay_.state().endpoints.allowance().limits().take_untold(now);
+    const std::vector<limit_notice> limits = relay_.state().endpoints.allowance().limits().take_pending(now);
     const std::vector<host_status>& live = gossip_.live(now);
     for (std::size_t first = 0; first < limits.size(); first += most_limits) {
         const auto begin = limits.begin() + static_cast<std::ptrdiff_t>(first);
@@ -288,19 +288,19 @@
 // requests.
 void entry_host::tell_crashes() {
     const time_point now = monotonic_now();
-    const crash_quarantine::untold untold = relay_.state().quarantine.take_untold(now);
+    const crash_quarantine::pending_notices pending_notices = relay_.state().quarantine.take_pending(now);
     const std::vector<host_status>& live = gossip_.live(now);
-    std::vector<crash_notice> for_all = untold.for_all;
+    std::vector<crash_notice> for_all = pending_notices.for_all;
     std::map<std::string, std::vector<crash_notice>> by_keeper;
     if (is_large_fleet(now)) {
         const std::vector<std::string> names = names_of(live);
-        for (const crash_notice& notice : untold.for_keepers) {
-            for (const std::string& keeper : keepers_of(notice.digest, names)) {
+        for (const crash_notice& notice : pending_notices.for_trackers) {
+            for (const std::string& keeper : trackers_of(notice.digest, names)) {
                 by_keeper[keeper].push_back(notice);
             }
         }
     } else {
-        for_all.insert(for_all.end(), untold.for_keepers.begin(), untold.for_keepers.end());
+        for_all.insert(for_all.end(), pending_notices.for_trackers.begin(), pending_notices.for_trackers.end());
     }
     for (std::size_t first = 0; first < for_all.size(); first += most_crashes) {
         const std::size_t last = std::min(for_all.size(), first + most_crashes);
@@ -359,7 +359,7 @@
     news.rollouts = rollouts_.own_news(now);
     news.refused = known_refusals(now);
     news.crashes = relay_.state().quarantine.known(most_crashes_in_round, now);
-    news.limits = relay_.state().endpoints.allowance().limits().next_known(most_limits_in_round, now);
+    news.limits = relay_.state().endpoints.allowance().limits().next_to_gossip(most_limits_in_round, now);
     return news;
 }
 
--- a/src/host/peer_messages.h
+++ b/src/host/peer_messages.h
@@ -37,7 +37,7 @@
     bool is_round = false; ///< part of a round: the beats are of all that the sender knows
     std::vector<refused_endpoint> refused{};
     std::vector<crash_notice> crashes{}; ///< \ref crash_quarantine::known
-    std::vector<limit_notice> limits{};  ///< \ref rate_limits::next_known
+    std::vector<limit_notice> limits{};  ///< \ref rate_limits::next_to_gossip
 };
 LAUREL_VALUE_TYPE(peer_news, statuses, load, counts, rollouts, beats, is_round, refused, crashes, limits)
 
--- a/src/node/entry_allowance.cpp
+++ b/src/node/entry_allowance.cpp
@@ -5,13 +5,13 @@
 
 endpoint_filter entry_core::allowed_within(duration patience) const {
     return [this, patience](const endpoint_record& endpoint) {
-        return allowance_.bar(endpoint, patience, now_) == send_bar::none;
+        return allowance_.exclusion_of(endpoint, patience, now_) == exclusion::none;
     };
 }
 
 void entry_core::note_statement(const context& request, const endpoint_statement& said) {
-    const statement_news news = allowance_.note(request.endpoint, said, request.call_started, now_);
-    if (!news.is_new_limit && !news.is_rest && !news.is_farewell) {
+    const statement_effects news = allowance_.note(request.endpoint, said, request.call_started, now_);
+    if (!news.is_limit_changed && !news.has_back_off && !news.is_newly_leaving) {
         return;
     }
     constexpr double no_limit = -1;
@@ -21,7 +21,7 @@
                                     {"requests_per_s", said.rate_limit.value_or(no_limit)},
                                     {"rest_ms", to_ms(said.back_off.value_or(duration::zero()))},
                                     {"is_leaving", said.is_leaving}});
-    if (news.is_farewell) {
+    if (news.is_newly_leaving) {
         share_leaving(request.endpoint.name);
     }
 }
@@ -36,7 +36,7 @@
 }
 
 int entry_core::retry_after_ms(const context& request) const {
-    const duration room = allowance_.room_in(request.pool, now_).value_or(duration::zero());
+    const duration room = allowance_.time_until_available(request.pool, now_).value_or(duration::zero());
     return static_cast<int>(to_ms(room));
 }
 
--- a/src/placement/back_offs.cpp
+++ b/src/placement/back_offs.cpp
@@ -7,46 +7,46 @@
 namespace laurelhoist {
 
 void back_offs::update(const std::vector<endpoint_record>& endpoints, time_point now) {
-    if (rests_.empty()) {
+    if (periods_.empty()) {
         return;
     }
     for (const endpoint_record& endpoint : endpoints) {
-        const auto found = rests_.find(endpoint.name);
-        if (found != rests_.end() && is_restart_of(endpoint, found->second.endpoint)) {
-            rests_.erase(found);
+        const auto found = periods_.find(endpoint.name);
+        if (found != periods_.end() && is_restart_of(endpoint, found->second.endpoint)) {
+            periods_.erase(found);
         }
     }
-    for (auto item = rests_.begin(); item != rests_.end();) {
-        item = now < item->second.until ? std::next(item) : rests_.erase(item);
+    for (auto item = periods_.begin(); item != periods_.end();) {
+        item = now < item->second.until ? std::next(item) : periods_.erase(item);
     }
 }
 
-void back_offs::note(const endpoint_record& endpoint, duration rest_time, time_point now) {
-    rest& held = rests_[endpoint.name];
-    const time_point before = is_restart_of(endpoint, held.endpoint) ? now : held.until;
-    held = {endpoint, now, std::max(before, now + rest_time)};
+void back_offs::note(const endpoint_record& endpoint, duration back_off, time_point now) {
+    back_off_period& period = periods_[endpoint.name];
+    const time_point before = is_restart_of(endpoint, period.endpoint) ? now : period.until;
+    period = {endpoint, now, std::max(before, now + back_off)};
 }
 
-const back_offs::rest* back_offs::find(const std::string& endpoint) const {
-    const auto found = rests_.find(endpoint);
-    return found == rests_.end() ? nullptr : &found->second;
+const back_offs::back_off_period* back_offs::find(const std::string& endpoint) const {
+    const auto found = periods_.find(endpoint);
+    return found == periods_.end() ? nullptr : &found->second;
 }
 
-bool back_offs::may_send_within(const std::string& endpoint, duration patience, time_point now) const {
-    const rest* held = find(endpoint);
-    return held == nullptr || held->until <= now + patience;
+bool back_offs::may_send_within(const std::string& endpoint, duration max_wait, time_point now) const {
+    const back_off_period* period = find(endpoint);
+    return period == nullptr || period->until <= now + max_wait;
 }
 
 bool back_offs::has_begun_since(const std::string& endpoint, time_point chosen_at) const {
-    const rest* held = find(endpoint);
-    return held != nullptr && held->asked_at >= chosen_at;
+    const back_off_period* period = find(endpoint);
+    return period != nullptr && period->asked_at >= chosen_at;
 }
 
-std::optional<duration> back_offs::room_in(const std::string& service, time_point now) const {
+std::optional<duration> back_offs::time_until_available(const std::string& service, time_point now) const {
     std::optional<duration> first;
-    for (const auto& [name, held] : rests_) {
-        if (held.endpoint.pool == service && now < held.until) {
-            const duration left = held.until - now;
+    for (const auto& [name, period] : periods_) {
+        if (period.endpoint.pool == service && now < period.until) {
+            const duration left = period.until - now;
             first = first ? std::min(*first, left) : left;
         }
     }
--- a/src/placement/cold_endpoints.cpp
+++ b/src/placement/cold_endpoints.cpp
@@ -10,17 +10,17 @@
 namespace {
 
 /// Two, so that one may be lost; more would each get too little to be of use.
-constexpr std::size_t sponsors_of_endpoint = 2;
+constexpr std::size_t sponsors_per_endpoint = 2;
 /// As many hosts again may take themselves for sponsors: while a domain is cut off, or a host has just come
 /// or gone, two views of the fleet stand side by side.
-constexpr double views_at_once = 2.0;
+constexpr double concurrent_views = 2.0;
 /// The rest is for requests of hosts that do not know yet that the endpoint is cold.
-constexpr double share_of_those_who_know = 0.75;
+constexpr double informed_share = 0.75;
 
-constexpr cold_sharing sharings[] = {
+constexpr cold_sharing_policy sharing_policies[] = {
     {"sponsors", &cold_endpoints::spacing_of_sponsors},
     {"all", &cold_endpoints::spacing_of_all_hosts},
-    {"none", &cold_endpoints::spacing_of_nobody},
+    {"none", &cold_endpoints::spacing_of_no_host},
 };
 
 /** \return the shortest time between requests with which no second holds more than \p most of them. */
@@ -34,21 +34,21 @@
 } // namespace
 
 bool is_cold_sharing(const std::string& name) {
-    return std::any_of(std::begin(sharings), std::end(sharings),
-                       [&](const cold_sharing& each) { return name == each.name; });
+    return std::any_of(std::begin(sharing_policies), std::end(sharing_policies),
+                       [&](const cold_sharing_policy& each) { return name == each.name; });
 }
 
 std::string cold_sharing_names() {
     std::string names;
-    for (const cold_sharing& each : sharings) {
+    for (const cold_sharing_policy& each : sharing_policies) {
         names += (names.empty() ? "" : ",") + std::string(each.name);
     }
     return names;
 }
 
 cold_endpoints::cold_endpoints(std::string host, const cold_bound& bound, const std::string& sharing)
-    : host_{std::move(host)}, bound_{bound}, sharing_{&sharings[0]} {
-    for (const cold_sharing& each : sharings) {
+    : host_{std::move(host)}, bound_{bound}, sharing_{&sharing_policies[0]} {
+    for (const cold_sharing_policy& each : sharing_policies) {
         if (sharing == each.name) {
             sharing_ = &each;
         }
@@ -65,11 +65,11 @@
         listed.insert(record.name);
         const auto [item, is_new] = endpoints_.try_emplace(record.name);
         known_endpoint& endpoint = item->second;
-        const bool says_anew = is_new || endpoint.record.cold_ms != record.cold_ms ||
+        const bool is_new_entry = is_new || endpoint.record.cold_ms != record.cold_ms ||
                                endpoint.record.started_at_ms != record.started_at_ms;
-        if (says_anew) {
+        if (is_new_entry) {
             // No longer than any is cold: an entry of another writer may hold any number.
-            endpoint.warm_at = now + std::min<duration>(service->second.lasts, milliseconds(record.cold_ms));
+            endpoint.warm_at = now + std::min<duration>(service->second.cold_time, milliseconds(record.cold_ms));
         }
         endpoint.record = record;
     }
@@ -83,7 +83,7 @@
     return found == services_.end() ? 0 : found->second.requests_per_s * bound_.overage + bound_.slack;
 }
 
-void cold_endpoints::set_hosts(const sponsor_view& view, time_point now) {
+void cold_endpoints::set_hosts(const host_view& view, time_point now) {
     for (auto& [name, endpoint] : endpoints_) {
         if (now < cold_until(endpoint)) {
             assign(endpoint, view, now);
@@ -93,10 +93,10 @@
     }
 }
 
-void cold_endpoints::assign(known_endpoint& endpoint, const sponsor_view& view, time_point now) {
+void cold_endpoints::assign(known_endpoint& endpoint, const host_view& view, time_point now) {
     std::optional<duration> spacing;
-    if (view.knows_others) {
-        const double allowance = allowance_of(endpoint.record.pool) * share_of_those_who_know;
+    if (view.has_full_view) {
+        const double allowance = allowance_of(endpoint.record.pool) * informed_share;
         spacing = (this->*sharing_->spacing)(endpoint.record, allowance, view);
     }
     if (spacing && !endpoint.spacing) {
@@ -111,35 +111,35 @@
 }
 
 std::optional<duration> cold_endpoints::spacing_of_sponsors(const endpoint_record& endpoint, double allowance,
-                                                            const sponsor_view& view) const {
-    const std::vector<std::string> sponsors = sponsors_of(endpoint, view.hosts, sponsors_of_endpoint);
+                                                            const host_view& view) const {
+    const std::vector<std::string> sponsors = sponsors_of(endpoint, view.hosts, sponsors_per_endpoint);
     const bool is_sponsor = std::find(sponsors.begin(), sponsors.end(), host_) != sponsors.end();
     if (!is_sponsor) {
         return std::nullopt;
     }
-    return spacing_for(allowance / (views_at_once * static_cast<double>(sponsors_of_endpoint)));
+    return spacing_for(allowance / (concurrent_views * static_cast<double>(sponsors_per_endpoint)));
 }
 
 std::optional<duration> cold_endpoints::spacing_of_all_hosts(const endpoint_record&, double allowance,
-                                                             const sponsor_view& view) const {
+                                                             const host_view& view) const {
     return spacing_for(allowance /
-                       (views_at_once * static_cast<double>(std::max<std::size_t>(1, view.hosts.size()))));
+                       (concurrent_views * static_cast<double>(std::max<std::size_t>(1, view.hosts.size()))));
 }
 
-std::optional<duration> cold_endpoints::spacing_of_nobody(const endpoint_record&, double,
-                                                          const sponsor_view&) const {
+std::optional<duration> cold_endpoints::spacing_of_no_host(const endpoint_record&, double,
+                                                          const host_view&) const {
     return std::nullopt;
 }
 
 bool cold_endpoints::on_refused(const std::string& endpoint, duration age, time_point now) {
     const auto found = endpoints_.find(endpoint);
-    if (found == endpoints_.end() || age >= suspicion_time) {
+    if (found == endpoints_.end() || age >= refused_cold_time) {
         return false;
     }
     std::optional<time_point>& refused_at = found->second.refused_at;
     const time_point at = now - age;
     // Told again only once it is much newer, or every try would go to every host.
-    const bool is_news = !refused_at || at > *refused_at + suspicion_time / 4;
+    const bool is_news = !refused_at || at > *refused_at + refused_cold_time / 4;
     if (!refused_at || at > *refused_at) {
         refused_at = at;
     }
@@ -149,7 +149,7 @@
 std::map<std::string, duration> cold_endpoints::refused(time_point now) const {
     std::map<std::string, duration> ages;
     for (const auto& [name, endpoint] : endpoints_) {
-        if (endpoint.refused_at && now - *endpoint.refused_at < suspicion_time) {
+        if (endpoint.refused_at && now - *endpoint.refused_at < refused_cold_time) {
             ages[name] = now - *endpoint.refused_at;
         }
     }
@@ -160,14 +160,14 @@
     for (auto& [name, endpoint] : endpoints_) {
         if (endpoint.record.domain == domain) {
             const auto service = services_.find(endpoint.record.pool);
-            const duration lasts = service == services_.end() ? duration::zero() : service->second.lasts;
-            endpoint.warm_at = std::max(endpoint.warm_at, now + lasts);
+            const duration cold_time = service == services_.end() ? duration::zero() : service->second.cold_time;
+            endpoint.warm_at = std::max(endpoint.warm_at, now + cold_time);
         }
     }
 }
 
 time_point cold_endpoints::cold_until(const known_endpoint& endpoint) const {
-    return endpoint.refused_at ? std::max(endpoint.warm_at, *endpoint.refused_at + suspicion_time)
+    return endpoint.refused_at ? std::max(endpoint.warm_at, *endpoint.refused_at + refused_cold_time)
                                : endpoint.warm_at;
 }
 
@@ -186,13 +186,13 @@
     return may_send_within(endpoint, duration::zero(), now);
 }
 
-bool cold_endpoints::may_send_within(const std::string& endpoint, duration patience, time_point now) const {
+bool cold_endpoints::may_send_within(const std::string& endpoint, duration max_wait, time_point now) const {
     const known_endpoint* cold = find_cold(endpoint, now);
     if (cold == nullptr) {
         return true;
     }
-    const bool is_in_turn = cold->spacing && cold->next_send <= now + patience;
-    return is_in_turn || (patience > duration::zero() && cold_until(*cold) <= now + patience);
+    const bool is_in_turn = cold->spacing && cold->next_send <= now + max_wait;
+    return is_in_turn || (max_wait > duration::zero() && cold_until(*cold) <= now + max_wait);
 }
 
 void cold_endpoints::on_sent(const std::string& endpoint, time_point now) {
--- a/src/placement/cold_endpoints.h
+++ b/src/placement/cold_endpoints.h
@@ -21,7 +21,7 @@
 
 /** What the operators say of a service's cold endpoints. */
 struct cold_start {
-    duration lasts{};          ///< from the endpoint's start
+    duration cold_time{};          ///< from the endpoint's start
     double requests_per_s = 0; ///< that a cold endpoint tolerates; 0: the service has no cold endpoints
 };
 
@@ -34,11 +34,11 @@
 class cold_endpoints;
 
 /** How the allowance of a cold endpoint is shared out over hosts. */
-struct cold_sharing {
+struct cold_sharing_policy {
     const char* name;
     /// The time between two requests of this host to the endpoint, or nothing if it must send none.
     std::optional<duration> (cold_endpoints::*spacing)(const endpoint_record&, double allowance,
-                                                       const sponsor_view&) const;
+                                                       const host_view&) const;
 };
 
 /** The cold endpoints, as one host sees them. No I/O; the time is an argument. */
@@ -52,13 +52,13 @@
      * here, as it does not say when it was written. */
     void update(const std::vector<endpoint_record>& endpoints, time_point now);
     /** Takes the hosts; to be called a few times a second. */
-    void set_hosts(const sponsor_view& view, time_point now);
+    void set_hosts(const host_view& view, time_point now);
 
     /** Nothing listened at \p endpoint \p age ago: its process has ended, and when it is back it is cold,
      * which the store says up to three seconds later.
      * \return whether that is news here */
     bool on_refused(const std::string& endpoint, duration age, time_point now);
-    /** Endpoints that refused connections within \ref suspicion_time, and how long ago. */
+    /** Endpoints that refused connections within \ref refused_cold_time, and how long ago. */
     std::map<std::string, duration> refused(time_point now) const;
     /** Requests may go to the failure domain \p domain again; its endpoints may have become cold. */
     void on_readmitted(const std::string& domain, time_point now);
@@ -66,40 +66,40 @@
     bool is_cold(const std::string& endpoint, time_point now) const;
     /** \return whether this host may send a request to \p endpoint now. */
     bool may_send(const std::string& endpoint, time_point now) const;
-    /** \return whether this host will be able to within \p patience. */
-    bool may_send_within(const std::string& endpoint, duration patience, time_point now) const;
+    /** \return whether this host will be able to within \p max_wait. */
+    bool may_send_within(const std::string& endpoint, duration max_wait, time_point now) const;
     void on_sent(const std::string& endpoint, time_point now);
     /** \return for how long the first of the cold endpoints of \p service stays so, or nothing if there are
      * none. */
     std::optional<duration> first_warm_in(const std::string& service, time_point now) const;
 
-    /** \see cold_sharing::spacing; a pace for two hosts of the endpoint's failure domain. */
+    /** \see cold_sharing_policy::spacing; a pace for two hosts of the endpoint's failure domain. */
     std::optional<duration> spacing_of_sponsors(const endpoint_record& endpoint, double allowance,
-                                                const sponsor_view& view) const;
+                                                const host_view& view) const;
     /** An even part for each. Keeps the bound in the mean only: for experiments. */
     std::optional<duration> spacing_of_all_hosts(const endpoint_record& endpoint, double allowance,
-                                                 const sponsor_view& view) const;
+                                                 const host_view& view) const;
     /** For experiments: where all endpoints are cold, nobody is served. */
-    std::optional<duration> spacing_of_nobody(const endpoint_record& endpoint, double allowance,
-                                              const sponsor_view& view) const;
+    std::optional<duration> spacing_of_no_host(const endpoint_record& endpoint, double allowance,
+                                              const host_view& view) const;
 
 private:
     struct known_endpoint {
         endpoint_record record;
         time_point warm_at;
         std::optional<time_point> refused_at;
-        std::optional<duration> spacing; ///< \see cold_sharing::spacing
+        std::optional<duration> spacing; ///< \see cold_sharing_policy::spacing
         time_point next_send;            ///< not before
     };
 
     time_point cold_until(const known_endpoint& endpoint) const;
     const known_endpoint* find_cold(const std::string& endpoint, time_point now) const;
     double allowance_of(const std::string& service) const;
-    void assign(known_endpoint& endpoint, const sponsor_view& view, time_point now);
+    void assign(known_endpoint& endpoint, const host_view& view, time_point now);
 
     std::string host_;
     cold_bound bound_;
-    const cold_sharing* sharing_;
+    const cold_sharing_policy* sharing_;
     std::map<std::string, cold_start> services_;
     std::map<std::string, known_endpoint> endpoints_; ///< of services that have cold ones
 };
@@ -110,8 +110,8 @@
 std::string cold_sharing_names();
 
 /// How long an endpoint that refused a connection counts as cold. Its process may be back at once, or as late
-/// as its entry lasts, 3.6 s; it writes the entry anew within 1.2 s, which reaches the last host 2 s later.
+/// as its entry cold_time, 3.6 s; it writes the entry anew within 1.2 s, which reaches the last host 2 s later.
 /// An entry that has lapsed is written anew as well, and says itself how cold the endpoint is.
-constexpr duration suspicion_time = milliseconds(6800);
+constexpr duration refused_cold_time = milliseconds(6800);
 
 } // namespace laurelhoist
--- a/src/placement/endpoint_directory.cpp
+++ b/src/placement/endpoint_directory.cpp
@@ -7,29 +7,29 @@
 namespace {
 
 /// Loads older than this are of a host that has gone or is cut off; hosts tell one another every 0.4 s.
-constexpr duration peer_load_memory = seconds(2);
+constexpr duration peer_load_ttl = seconds(2);
 /// An engine's cache outlasts this at the loads planned for; beyond it the part may have been displaced.
-constexpr duration part_memory = seconds(30);
-constexpr std::size_t most_parts = 512; ///< remembered for each endpoint: 16 KB
+constexpr duration sent_part_ttl = seconds(30);
+constexpr std::size_t max_parts_per_engine = 512; ///< remembered for each endpoint: 16 KB
 /// A request may wait for a cold or limited endpoint that takes another one within this time.
-constexpr duration longest_patience = milliseconds(500);
+constexpr duration max_endpoint_wait = milliseconds(500);
 /// Each running stream lengthens every step of its engine; measured from 0.02 to 0.07 ms a token.
-constexpr double running_ms = 2.0;
+constexpr double running_stream_ms = 2.0;
 /// Worth of staying in the failure domain: the crossings themselves take under 4 ms, but each caller's prompt
 /// and answer cross with them, and an engine elsewhere that is sooner by less than this is sooner by chance
 /// as often as not. Worth 0.008 and 0.005 at two sites of 7 and 6 hosts. At 75 ms streams of a third one took
 /// longer while engines of one domain were lost.
-constexpr double other_domain_ms = 30.0;
-constexpr double least_reading_ms = 0.001; ///< less is what rounding left of sums and differences
+constexpr double cross_domain_ms = 30.0;
+constexpr double min_reading_ms = 0.001; ///< less is what rounding left of sums and differences
 /// The load of another domain that is not known: about that of an endpoint at the usual load.
-constexpr double unseen_domain_ms = 120.0;
+constexpr double unknown_domain_load_ms = 120.0;
 /// A shared part from this size on has one home in the whole fleet: read once in each of six domains,
 /// documents of 4,900 tokens that are asked for seven times a minute were read again nearly every time. To
 /// read 1,500 tokens keeps an engine from others as long as a crossing is worth. On a large fleet in a burst
 /// 30 M of them were read again in place of 58 M.
-constexpr std::int64_t least_tokens_worth_the_way = 1500;
+constexpr std::int64_t min_tokens_for_fleet_home = 1500;
 /// What reading a shared token again costs the fleet beside this request's own wait: the engine's time for
-/// all others that run there, and the memory of what yields to a second copy. Without it the small model,
+/// all others that run there, and the cache of what yields to a second copy. Without it the small model,
 /// which reads fast, reads shared parts at whichever engine is idle: on a calm day of 18 engines 2.8 M tokens
 /// of them again, with it 2.3 M.
 constexpr double reread_ms_per_token = 0.02;
@@ -52,7 +52,7 @@
     table_.update(endpoints, now);
     allowance_.update(endpoints, now);
     for (const endpoint_record& endpoint : restarted_among(endpoints)) {
-        memory_.erase(endpoint.name); // It holds no part of a prompt.
+        engine_caches_.erase(endpoint.name); // It holds no part of a prompt.
     }
     std::set<std::string> listed;
     for (const endpoint_record& endpoint : endpoints) {
@@ -62,26 +62,26 @@
     for (auto item = started_at_ms_.begin(); item != started_at_ms_.end();) {
         item = listed.count(item->first) > 0 ? std::next(item) : started_at_ms_.erase(item);
     }
-    for (auto item = memory_.begin(); item != memory_.end();) {
-        item = listed.count(item->first) > 0 ? std::next(item) : memory_.erase(item);
+    for (auto item = engine_caches_.begin(); item != engine_caches_.end();) {
+        item = listed.count(item->first) > 0 ? std::next(item) : engine_caches_.erase(item);
     }
 }
 
 bool endpoint_directory::could_serve(const std::string& service, time_point now) const {
     return table_.could_serve(service, "", now, [&](const endpoint_record& endpoint) {
-        return allowance_.bar(endpoint, longest_patience, now) == send_bar::none;
+        return allowance_.exclusion_of(endpoint, max_endpoint_wait, now) == exclusion::none;
     });
 }
 
-std::map<send_bar, int> endpoint_directory::bars_of(const std::string& service, time_point now) const {
-    std::map<send_bar, int> bars;
+std::map<exclusion, int> endpoint_directory::count_exclusions(const std::string& service, time_point now) const {
+    std::map<exclusion, int> counts;
     (void)table_.could_serve(service, "", now, [&](const endpoint_record& endpoint) {
-        const send_bar bar = allowance_.bar(endpoint, longest_patience, now);
-        bars[bar] += bar == send_bar::none ? 0 : 1;
+        const exclusion reason = allowance_.exclusion_of(endpoint, max_endpoint_wait, now);
+        counts[reason] += reason == exclusion::none ? 0 : 1;
         return false; // Goes on to the next.
     });
-    bars.erase(send_bar::none);
-    return bars;
+    counts.erase(exclusion::none);
+    return counts;
 }
 
 std::vector<endpoint_record>
@@ -101,47 +101,47 @@
     table_.set_slots(service, slots, sharers);
 }
 
-void endpoint_directory::count_peer_load(const load_by_endpoint& load, int sign) {
+void endpoint_directory::add_peer_load(const load_by_endpoint& load, int sign) {
     for (const auto& [endpoint, each] : load) {
-        endpoint_load& total = heard_[endpoint];
+        endpoint_load& total = peer_load_[endpoint];
         total.reading_ms += sign * each.reading_ms;
         total.running += sign * each.running;
-        if (total.running <= 0 && total.reading_ms < least_reading_ms) {
-            heard_.erase(endpoint);
+        if (total.running <= 0 && total.reading_ms < min_reading_ms) {
+            peer_load_.erase(endpoint);
         }
     }
 }
 
 void endpoint_directory::drop_silent_peers(time_point now) {
     for (auto item = peers_.begin(); item != peers_.end();) {
-        if (now - item->second.at < peer_load_memory) {
+        if (now - item->second.at < peer_load_ttl) {
             ++item;
             continue;
         }
-        count_peer_load(item->second.load, -1);
+        add_peer_load(item->second.load, -1);
         item = peers_.erase(item);
     }
 }
 
 void endpoint_directory::set_peer_load(const std::string& host, load_by_endpoint load, time_point now) {
     peer_state& peer = peers_[host];
-    count_peer_load(peer.load, -1);
+    add_peer_load(peer.load, -1);
     peer = {std::move(load), now};
-    count_peer_load(peer.load, 1);
+    add_peer_load(peer.load, 1);
 }
 
-void endpoint_directory::change_peer_load(const std::string& host, const load_by_endpoint& changes,
+void endpoint_directory::update_peer_load(const std::string& host, const load_by_endpoint& changes,
                                           time_point now) {
     peer_state& peer = peers_[host];
-    count_peer_load(peer.load, -1);
-    if (now - peer.at >= peer_load_memory) {
+    add_peer_load(peer.load, -1);
+    if (now - peer.at >= peer_load_ttl) {
         peer.load.clear(); // What did not change is as old as the last message.
     }
     for (const auto& [endpoint, load] : changes) {
         peer.load[endpoint] = load;
     }
     peer.at = now;
-    count_peer_load(peer.load, 1);
+    add_peer_load(peer.load, 1);
 }
 
 endpoint_load endpoint_directory::load_of(const std::string& endpoint) const {
@@ -150,28 +150,28 @@
         total.reading_ms += load.reading_ms;
         total.running += load.running;
     };
-    if (const auto own = own_.find(endpoint); own != own_.end()) {
+    if (const auto own = own_load_.find(endpoint); own != own_load_.end()) {
         add(own->second);
     }
-    if (const auto heard = heard_.find(endpoint); heard != heard_.end() && in_use_.hears_peer_load) {
-        add(heard->second);
+    if (const auto peer = peer_load_.find(endpoint); peer != peer_load_.end() && in_use_.hears_peer_load) {
+        add(peer->second);
     }
     return total;
 }
 
 std::string endpoint_directory::home_of(const std::vector<endpoint_record>& candidates,
                                         const prompt_shape& prompt, const std::string& model) const {
-    constexpr std::size_t least_parts = 2; // The last part is the request's own.
-    if (prompt.parts.size() < least_parts || !in_use_.shared_homes) {
+    constexpr std::size_t min_parts = 2; // The last part is the request's own.
+    if (prompt.parts.size() < min_parts || !in_use_.shared_homes) {
         return {};
     }
-    const std::size_t shared = prompt.parts.size() - least_parts;
+    const std::size_t shared = prompt.parts.size() - min_parts;
     // Where hosts keep to their own domain, a home in another one would hardly ever be used, but for a part
     // that is worth the way.
     const bool has_near = std::any_of(candidates.begin(), candidates.end(),
                                       [this](const auto& each) { return each.domain == domain_; });
     const bool is_near_only =
-        prefers_own_domain_ && has_near && prompt.tokens[shared] < least_tokens_worth_the_way;
+        prefers_own_domain_ && has_near && prompt.tokens[shared] < min_tokens_for_fleet_home;
     const std::string key = std::to_string(cache_key(prompt.parts[shared], model)) + "/";
     std::string home;
     std::uint64_t least = 0;
@@ -191,15 +191,15 @@
 endpoint_directory::unread_prompt
 endpoint_directory::unread_at(const endpoint_record& endpoint, const prompt_shape& prompt,
                               const std::string& model, const std::string& home, time_point now) const {
-    const auto memory = memory_.find(endpoint.name);
+    const auto cache = engine_caches_.find(endpoint.name);
     unread_prompt unread{prompt.input_tokens, 0};
     bool is_known = true;
     for (std::size_t i = 0; i < prompt.parts.size(); ++i) {
         const bool is_own_part = i + 1 == prompt.parts.size();
         bool is_held = endpoint.name == home && !is_own_part;
-        if (!is_held && memory != memory_.end() && in_use_.remembers_parts) {
-            const auto sent = memory->second.parts.find(cache_key(prompt.parts[i], model));
-            is_held = sent != memory->second.parts.end() && now - sent->second < part_memory;
+        if (!is_held && cache != engine_caches_.end() && in_use_.remembers_parts) {
+            const auto sent = cache->second.parts.find(cache_key(prompt.parts[i], model));
+            is_held = sent != cache->second.parts.end() && now - sent->second < sent_part_ttl;
         }
         is_known = is_known && is_held; // A part counts only if all before it are there.
         if (is_known) {
@@ -216,14 +216,14 @@
     if (endpoint.domain == domain_ || !in_use_.keeps_to_domain) {
         return 0.0;
     }
-    return prefers_own_domain_ && endpoint.name != home ? unseen_domain_ms : other_domain_ms;
+    return prefers_own_domain_ && endpoint.name != home ? unknown_domain_load_ms : cross_domain_ms;
 }
 
 std::optional<placement> endpoint_directory::choose(const endpoint_wish& wish, const prompt_shape& prompt,
-                                                    const model_demand& model, time_point now) {
+                                                    const target_model& model, time_point now) {
     const std::vector<endpoint_record> candidates =
         table_.eligible(wish, now, [&](const endpoint_record& endpoint) {
-            return allowance_.bar(endpoint, duration::zero(), now) == send_bar::none;
+            return allowance_.exclusion_of(endpoint, duration::zero(), now) == exclusion::none;
         });
     if (candidates.empty()) {
         return std::nullopt;
@@ -231,7 +231,7 @@
     drop_silent_peers(now);
     const std::string home = home_of(candidates, prompt, model.name);
     std::optional<placement> best;
-    double least_cost = 0;
+    double lowest_cost = 0;
     // Started at a random one, so that equal endpoints share the work.
     const std::size_t first = random_.below(candidates.size());
     for (std::size_t i = 0; i < candidates.size(); ++i) {
@@ -240,13 +240,13 @@
             prompt.is_empty() ? unread_prompt{} : unread_at(endpoint, prompt, model.name, home, now);
         const endpoint_load load = load_of(endpoint.name);
         const double reading = static_cast<double>(unread.tokens) * model.costs.read_ms_per_token;
-        const double waiting = load.reading_ms * model.costs.backlog_share + load.running * running_ms;
+        const double waiting = load.reading_ms * model.costs.backlog_share + load.running * running_stream_ms;
         const double predicted = reading + waiting + domain_penalty_ms(endpoint, home);
         const double rereading = in_use_.prices_rereading ? reread_ms_per_token : 0.0;
         const double cost = predicted + static_cast<double>(unread.shared_tokens) * rereading;
-        if (!best || cost < least_cost) {
+        if (!best || cost < lowest_cost) {
             best = placement{endpoint, model.name, unread.tokens, reading, load.reading_ms, predicted};
-            least_cost = cost;
+            lowest_cost = cost;
         }
     }
     return best;
@@ -257,28 +257,28 @@
     const std::string& name = chosen.endpoint.name;
     table_.on_call_started(name, wish, now);
     allowance_.on_sent(name, now);
-    own_[name].reading_ms += chosen.reading_ms;
+    own_load_[name].reading_ms += chosen.reading_ms;
     if (prompt.is_empty()) {
-        ++own_[name].running;
+        ++own_load_[name].running;
         return;
     }
-    engine_memory& memory = memory_[name];
+    engine_cache& cache = engine_caches_[name];
     for (const std::uint64_t part : prompt.parts) {
-        memory.parts[cache_key(part, chosen.model)] = now;
+        cache.parts[cache_key(part, chosen.model)] = now;
     }
-    forget_old_parts(memory, now);
+    forget_old_parts(cache, now);
 }
 
-void endpoint_directory::forget_old_parts(engine_memory& memory, time_point now) {
-    if (memory.parts.size() <= most_parts) {
+void endpoint_directory::forget_old_parts(engine_cache& cache, time_point now) {
+    if (cache.parts.size() <= max_parts_per_engine) {
         return;
     }
-    const duration kept = part_memory / 2;
-    for (auto item = memory.parts.begin(); item != memory.parts.end();) {
-        item = now - item->second > kept ? memory.parts.erase(item) : std::next(item);
+    const duration kept = sent_part_ttl / 2;
+    for (auto item = cache.parts.begin(); item != cache.parts.end();) {
+        item = now - item->second > kept ? cache.parts.erase(item) : std::next(item);
     }
-    if (memory.parts.size() > most_parts) {
-        memory.parts.clear();
+    if (cache.parts.size() > max_parts_per_engine) {
+        cache.parts.clear();
     }
 }
 
@@ -286,7 +286,7 @@
 // drove prompts from engine to engine by chance (0.025 of worth at the smallest site, 0.003 at two larger
 // ones), and engines five times as slow were found little sooner than by their backlogs (0.002 to 0.011).
 void endpoint_directory::on_first_byte(const placement& chosen) {
-    endpoint_load& load = own_[chosen.endpoint.name];
+    endpoint_load& load = own_load_[chosen.endpoint.name];
     load.reading_ms -= chosen.reading_ms;
     if (chosen.unread_tokens > 0) {
         ++load.running;
@@ -296,8 +296,8 @@
 void endpoint_directory::on_ended(const placement& chosen, bool had_first_byte, call_result result,
                                   duration took, time_point now) {
     table_.on_call_ended(chosen.endpoint.name, result, took, now);
-    const auto found = own_.find(chosen.endpoint.name);
-    if (found == own_.end()) {
+    const auto found = own_load_.find(chosen.endpoint.name);
+    if (found == own_load_.end()) {
         return;
     }
     endpoint_load& load = found->second;
@@ -307,8 +307,8 @@
     } else {
         --load.running;
     }
-    if (load.running <= 0 && load.reading_ms < least_reading_ms) {
-        own_.erase(found);
+    if (load.running <= 0 && load.reading_ms < min_reading_ms) {
+        own_load_.erase(found);
     }
 }
 
--- a/src/placement/endpoint_directory.h
+++ b/src/placement/endpoint_directory.h
@@ -31,7 +31,7 @@
 };
 
 /** The model that is meant to answer a request. */
-struct model_demand {
+struct target_model {
     std::string name; ///< empty: of a plain service
     first_event_costs costs;
 };
@@ -50,7 +50,7 @@
 /** A chosen endpoint and what the choice rests on. */
 struct placement {
     endpoint_record endpoint;
-    std::string model;              ///< \see model_demand::name
+    std::string model;              ///< \see target_model::name
     std::int64_t unread_tokens = 0; ///< that the endpoint has to read for this request
     double reading_ms = 0;          ///< that it takes to read them
     double backlog_ms = 0;          ///< that the prompts of others there still take to read
@@ -72,21 +72,21 @@
     /** Sets whether another failure domain's endpoints are used only when this one's are busy: on a large
      * fleet hosts know the load of those in their own domain alone. */
     void prefer_own_domain(bool is_preferred) { prefers_own_domain_ = is_preferred; }
-    /** Takes what \p host has in flight; it counts for \ref peer_load_memory. */
+    /** Takes what \p host has in flight; it counts for \ref peer_load_ttl. */
     void set_peer_load(const std::string& host, load_by_endpoint load, time_point now);
     /** Takes what has changed of it: the endpoints in \p changes, the others stay. */
-    void change_peer_load(const std::string& host, const load_by_endpoint& changes, time_point now);
-    const load_by_endpoint& own_load() const { return own_; }
+    void update_peer_load(const std::string& host, const load_by_endpoint& changes, time_point now);
+    const load_by_endpoint& own_load() const { return own_load_; }
     send_allowance& allowance() { return allowance_; }
     const send_allowance& allowance() const { return allowance_; }
 
     /** \return the endpoint to send to, or nothing if none takes work now */
     std::optional<placement> choose(const endpoint_wish& wish, const prompt_shape& prompt,
-                                    const model_demand& model, time_point now);
+                                    const target_model& model, time_point now);
     /** \return whether some endpoint of \p service takes requests of this host now or very soon. */
     bool could_serve(const std::string& service, time_point now) const;
     /** \return how many endpoints of \p service that take work get none of this host now, by the reason */
-    std::map<send_bar, int> bars_of(const std::string& service, time_point now) const;
+    std::map<exclusion, int> count_exclusions(const std::string& service, time_point now) const;
     std::size_t size() const { return table_.size(); }
 
     void on_sent(const placement& chosen, const prompt_shape& prompt, const endpoint_wish& wish,
@@ -102,12 +102,12 @@
         load_by_endpoint load;
         time_point at;
     };
-    struct engine_memory {
+    struct engine_cache {
         std::unordered_map<std::uint64_t, time_point> parts; ///< sent there by this host, by \ref cache_key
     };
 
     endpoint_load load_of(const std::string& endpoint) const;
-    void count_peer_load(const load_by_endpoint& load, int sign);
+    void add_peer_load(const load_by_endpoint& load, int sign);
     void drop_silent_peers(time_point now);
     /// What one endpoint would have to read of a prompt.
     struct unread_prompt {
@@ -121,7 +121,7 @@
     /** \param home of the prompt's shared part: its load is shared evenly, so that not knowing it matters
      * less */
     double domain_penalty_ms(const endpoint_record& endpoint, const std::string& home) const;
-    void forget_old_parts(engine_memory& memory, time_point now);
+    void forget_old_parts(engine_cache& cache, time_point now);
 
     endpoint_table table_;
     random_source random_;
@@ -129,12 +129,12 @@
     std::string domain_;
     mechanisms in_use_;
     bool prefers_own_domain_ = false;
-    load_by_endpoint own_;
+    load_by_endpoint own_load_;
     std::map<std::string, peer_state> peers_;
     /// The sum of what \ref peers_ hold. Summed up for each choice, it took a look-up by name for each of
     /// some 64 peers and 192 endpoints.
-    std::unordered_map<std::string, endpoint_load> heard_;
-    std::map<std::string, engine_memory> memory_;
+    std::unordered_map<std::string, endpoint_load> peer_load_;
+    std::map<std::string, engine_cache> engine_caches_;
     std::map<std::string, std::int64_t> started_at_ms_; ///< by endpoint
 };
 
--- a/src/placement/first_event_estimate.cpp
+++ b/src/placement/first_event_estimate.cpp
@@ -15,12 +15,12 @@
 constexpr double prior_backlog_ms = 100;
 /// Of an answer's weight with each later one: some 50 answers count, a few seconds of a host's traffic.
 constexpr double decay = 0.98;
-constexpr double least_telling_tokens = 500; ///< fewer take less than the network's own variation
-constexpr double least_ms = 20; ///< smaller times are told apart by the network, not by the engine
+constexpr double min_informative_tokens = 500; ///< fewer take less than the network's own variation
+constexpr double min_expected_ms = 20; ///< smaller times are told apart by the network, not by the engine
 /// A single answer that took more than this multiple tells of a failing engine, not of the model.
-constexpr double most_over_expected = 3;
-constexpr double range = 20; ///< of the initial cost, up and down
-constexpr double most_backlog_share = 1.5;
+constexpr double max_over_expected = 3;
+constexpr double max_cost_factor = 20; ///< of the initial cost, up and down
+constexpr double max_backlog_share = 1.5;
 
 double initial_cost(std::size_t rank) {
     return initial_ms_per_token[std::min(rank, std::size(initial_ms_per_token) - 1)];
@@ -39,7 +39,7 @@
 // Two kinds of sample, one with a backlog and one without, so that the initial costs are the solution.
 first_event_estimate::sums first_event_estimate::prior(std::size_t rank) {
     const double reading = initial_cost(rank) * prior_tokens;
-    const double weight = prior_answers / std::pow(std::max(reading, least_ms), 2);
+    const double weight = prior_answers / std::pow(std::max(reading, min_expected_ms), 2);
     sums total;
     add(total, {prior_tokens, 0, reading}, weight);
     add(total, {0, prior_backlog_ms, prior_backlog_ms}, prior_answers / std::pow(prior_backlog_ms, 2));
@@ -57,8 +57,8 @@
         (total.tokens_took * total.backlog_backlog - total.backlog_took * total.tokens_backlog) / determinant;
     const double by_backlog =
         (total.backlog_took * total.tokens_tokens - total.tokens_took * total.tokens_backlog) / determinant;
-    return {std::clamp(by_token, initial / range, initial * range),
-            std::clamp(by_backlog, 0.0, most_backlog_share)};
+    return {std::clamp(by_token, initial / max_cost_factor, initial * max_cost_factor),
+            std::clamp(by_backlog, 0.0, max_backlog_share)};
 }
 
 first_event_costs first_event_estimate::costs(const std::string& model, std::size_t rank) const {
@@ -68,14 +68,14 @@
 
 void first_event_estimate::observe(const std::string& model, std::size_t rank,
                                    const first_event_sample& sample) {
-    if (!learns_ || sample.unread_tokens < least_telling_tokens) {
+    if (!learns_ || sample.unread_tokens < min_informative_tokens) {
         return;
     }
-    const first_event_costs held = costs(model, rank);
-    const double expected = std::max(least_ms, sample.unread_tokens * held.read_ms_per_token +
-                                                   sample.backlog_ms * held.backlog_share);
+    const first_event_costs current = costs(model, rank);
+    const double expected = std::max(min_expected_ms, sample.unread_tokens * current.read_ms_per_token +
+                                                   sample.backlog_ms * current.backlog_share);
     first_event_sample bounded = sample;
-    bounded.took_ms = std::clamp(sample.took_ms, 0.0, expected * most_over_expected);
+    bounded.took_ms = std::clamp(sample.took_ms, 0.0, expected * max_over_expected);
     sums& total = by_model_.try_emplace(model, prior(rank)).first->second;
     // What the initial costs count fades as well, but never to nothing: without backlogs for a while the
     // share of them could not be told.
--- a/src/placement/first_event_estimate.h
+++ b/src/placement/first_event_estimate.h
@@ -3,7 +3,7 @@
  *
  * Engines read prompts in chunks between the tokens of others, so a prompt for a fast model waits for only a
  * part of what is ahead of it. Counted in full, an engine that read a long prompt for the large model looked
- * busy to every chat for half a second: chats left the engines that held their shared part, though those that
+ * busy to every chat for half a second: chats left the engines that current their shared part, though those that
  * stayed waited for a third of it (measured on 2,641 first attempts by the small and 1,357 by the large
  * model).
  */
--- a/src/placement/leaving_endpoints.h
+++ b/src/placement/leaving_endpoints.h
@@ -25,11 +25,11 @@
     bool has_begun_since(const endpoint_record& endpoint, time_point chosen_at) const;
 
 private:
-    struct farewell {
+    struct departure {
         time_point said_at;
         time_point listed_at; ///< when the store last listed it
     };
-    std::map<std::uint32_t, farewell> farewells_; ///< by process
+    std::map<std::uint32_t, departure> departures_; ///< by process
 };
 
 } // namespace laurelhoist
--- a/src/placement/rate_limits.h
+++ b/src/placement/rate_limits.h
@@ -13,7 +13,7 @@
  * So a limited endpoint has sponsors, about one for each request a second that it takes; each sends an even
  * part of them at a fixed pace, all other hosts none. The first answer that names a limit is told to all
  * hosts. Example: a limit of 1.7 has two sponsors, each of which sends a request every 1.18 s. It may send
- * one late, but saves up no more than that: whatever the limit, four seconds hold at most 6 times it and 2
+ * one late, but saves up no more than that: whatever the limit, four seconds hold at max_count 6 times it and 2
  * more.
  */
 #pragma once
@@ -51,7 +51,7 @@
     /** Takes the endpoints as the store lists them; a new process under a known name has named no limit. */
     void update(const std::vector<endpoint_record>& endpoints, time_point now);
     /** Takes the live hosts; to be called a few times a second. */
-    void set_hosts(const sponsor_view& view, time_point now);
+    void set_hosts(const host_view& view, time_point now);
 
     /** Sets by how many hosts the endpoints of \p pool are used, where each uses only some endpoints and does
      * not know which ones others use: then each of them is a sponsor. In force with the next \ref set_hosts.
@@ -59,25 +59,25 @@
     void set_sharers(const std::string& pool, std::size_t sharers);
 
     /** Takes what an answer of \p endpoint says. \return whether a limit other than before holds now */
-    bool note(const endpoint_record& endpoint, const limit_statement& said, time_point now);
+    bool note(const endpoint_record& endpoint, const limit_statement& statement, time_point now);
     /** Takes what another host has heard. In any order and any number of copies the result is the same.
      * \return the endpoints whose limit has changed with it */
     std::vector<std::string> merge(const std::vector<limit_notice>& notices, time_point now);
     /** \return what has changed here since the last call and all hosts should hear at once */
-    std::vector<limit_notice> take_untold(time_point now);
-    /** \return \p most of what is known, others with each call, for hosts that have missed it */
-    std::vector<limit_notice> next_known(std::size_t most, time_point now);
+    std::vector<limit_notice> take_pending(time_point now);
+    /** \return \p max_count of what is known, others with each call, for hosts that have missed it */
+    std::vector<limit_notice> next_to_gossip(std::size_t max_count, time_point now);
 
     /** \return requests a second that \p endpoint takes from all hosts together; nothing: no limit */
     std::optional<double> limit_of(const std::string& endpoint) const;
-    /** \return whether this host will be able to send a request to \p endpoint within \p patience. */
-    bool may_send_within(const std::string& endpoint, duration patience, time_point now) const;
+    /** \return whether this host will be able to send a request to \p endpoint within \p max_wait. */
+    bool may_send_within(const std::string& endpoint, duration max_wait, time_point now) const;
     void on_sent(const std::string& endpoint, time_point now);
     /** \return whether a limit that was not known at \p chosen_at forbids to send to \p endpoint now. */
     bool has_tightened_since(const std::string& endpoint, time_point chosen_at) const;
     /** \return after what time a limited endpoint of \p service takes the next request, or nothing if none is
      * limited */
-    std::optional<duration> room_in(const std::string& service, time_point now) const;
+    std::optional<duration> time_until_available(const std::string& service, time_point now) const;
 
 private:
     /// How fast this host sends, as one of the sponsors.
@@ -85,31 +85,31 @@
         duration spacing{};
         time_point due; ///< when the next request would be sent if none were late
     };
-    struct belief {
-        limit_statement said;
+    struct known_limit {
+        limit_statement statement;
         time_point changed_at; ///< here
-        bool is_untold = false;
+        bool is_pending = false;
         bool is_assigned = false; ///< with the hosts that are known now
-        std::optional<pace> own;  ///< nothing: this host is no sponsor
+        std::optional<pace> own_pace;  ///< nothing: this host is no sponsor
         time_point last_sent;
     };
 
-    bool take(std::uint32_t process, const limit_statement& said, time_point now);
+    bool apply_statement(std::uint32_t process, const limit_statement& statement, time_point now);
     /** \return into how many parts the limit is shared, of which this host sends one; 0: it sends none */
     std::size_t parts_for_this_host(const endpoint_record& endpoint, double limit) const;
-    void assign(belief& held, const endpoint_record& endpoint, time_point now) const;
+    void assign(known_limit& known, const endpoint_record& endpoint, time_point now) const;
     const endpoint_record* find_listed(std::uint32_t process) const;
-    const belief* find_limited(const std::string& endpoint) const;
+    const known_limit* find_limited(const std::string& endpoint) const;
     void forget_old(time_point now);
 
     std::string host_;
-    sponsor_view view_;
+    host_view view_;
     std::vector<endpoint_record> listed_;
     std::map<std::string, std::uint32_t> processes_;  ///< of the listed endpoints, by name
     std::map<std::uint32_t, std::size_t> by_process_; ///< index in \ref listed_
-    std::map<std::uint32_t, belief> beliefs_;         ///< by process, also of such as are not listed yet
+    std::map<std::uint32_t, known_limit> known_limits_;         ///< by process, also of such as are not listed yet
     std::map<std::string, std::size_t> sharers_;      ///< by pool
-    std::uint32_t last_told_ = 0;                     ///< process, by \ref next_known
+    std::uint32_t last_gossiped_ = 0;                     ///< process, by \ref next_to_gossip
 };
 
 } // namespace laurelhoist
--- a/src/placement/send_allowance.cpp
+++ b/src/placement/send_allowance.cpp
@@ -4,27 +4,27 @@
 
 namespace laurelhoist {
 
-const send_allowance::guard send_allowance::guards[] = {
-    {send_bar::evacuated, &send_allowance::is_in_use},
-    {send_bar::leaving, &send_allowance::is_staying},
-    {send_bar::back_off, &send_allowance::is_rested},
-    {send_bar::rate_limited, &send_allowance::is_within_limit},
-    {send_bar::cold, &send_allowance::is_warm_enough},
+const send_allowance::exclusion_check send_allowance::exclusion_checks[] = {
+    {exclusion::evacuated, &send_allowance::is_not_evacuated},
+    {exclusion::leaving, &send_allowance::is_not_leaving},
+    {exclusion::back_off, &send_allowance::is_past_back_off},
+    {exclusion::rate_limited, &send_allowance::is_within_rate_limit},
+    {exclusion::cold, &send_allowance::is_within_cold_limit},
 };
 
-const char* to_string(send_bar bar) {
-    switch (bar) {
-    case send_bar::none:
+const char* to_string(exclusion reason) {
+    switch (reason) {
+    case exclusion::none:
         return "none";
-    case send_bar::evacuated:
+    case exclusion::evacuated:
         return "evacuated";
-    case send_bar::leaving:
+    case exclusion::leaving:
         return "leaving";
-    case send_bar::back_off:
+    case exclusion::back_off:
         return "back_off";
-    case send_bar::rate_limited:
+    case exclusion::rate_limited:
         return "rate_limited";
-    case send_bar::cold:
+    case exclusion::cold:
         return "cold";
     }
     return "unknown";
@@ -40,7 +40,7 @@
     leaving_.update(endpoints, now);
 }
 
-void send_allowance::set_hosts(const sponsor_view& view, time_point now) {
+void send_allowance::set_hosts(const host_view& view, time_point now) {
     cold_.set_hosts(view, now);
     limits_.set_hosts(view, now);
 }
@@ -54,26 +54,26 @@
     evacuated_ = evacuated;
 }
 
-send_bar send_allowance::bar(const endpoint_record& endpoint, duration patience, time_point now) const {
-    for (const guard& each : guards) {
-        if (!(this->*each.allows)(endpoint, patience, now)) {
+exclusion send_allowance::exclusion_of(const endpoint_record& endpoint, duration max_wait, time_point now) const {
+    for (const exclusion_check& each : exclusion_checks) {
+        if (!(this->*each.allows)(endpoint, max_wait, now)) {
             return each.reason;
         }
     }
-    return send_bar::none;
+    return exclusion::none;
 }
 
-bool send_allowance::is_barred_since(const endpoint_record& endpoint, time_point chosen_at) const {
+bool send_allowance::is_excluded_since(const endpoint_record& endpoint, time_point chosen_at) const {
     return limits_.has_tightened_since(endpoint.name, chosen_at) ||
            back_offs_.has_begun_since(endpoint.name, chosen_at) ||
            leaving_.has_begun_since(endpoint, chosen_at);
 }
 
-std::optional<duration> send_allowance::room_in(const std::string& service, time_point now) const {
+std::optional<duration> send_allowance::time_until_available(const std::string& service, time_point now) const {
     std::optional<duration> first;
     for (const std::optional<duration>& room :
-         {cold_.first_warm_in(service, now), limits_.room_in(service, now),
-          back_offs_.room_in(service, now)}) {
+         {cold_.first_warm_in(service, now), limits_.time_until_available(service, now),
+          back_offs_.time_until_available(service, now)}) {
         first = first && room ? std::min(*first, *room) : first ? first : room;
     }
     return first;
@@ -84,38 +84,38 @@
     limits_.on_sent(endpoint, now);
 }
 
-statement_news send_allowance::note(const endpoint_record& endpoint, const endpoint_statement& said,
+statement_effects send_allowance::note(const endpoint_record& endpoint, const endpoint_statement& statement,
                                     time_point sent_at, time_point now) {
-    statement_news news;
-    news.is_new_limit = limits_.note(endpoint, {said.rate_limit, sent_at, now}, now);
-    news.is_farewell = said.is_leaving && leaving_.note(endpoint, now);
-    news.is_rest = said.back_off.has_value();
-    if (news.is_rest) {
-        back_offs_.note(endpoint, *said.back_off, now);
+    statement_effects effects;
+    effects.is_limit_changed = limits_.note(endpoint, {statement.rate_limit, sent_at, now}, now);
+    effects.is_newly_leaving = statement.is_leaving && leaving_.note(endpoint, now);
+    effects.has_back_off = statement.back_off.has_value();
+    if (effects.has_back_off) {
+        back_offs_.note(endpoint, *statement.back_off, now);
     }
-    return news;
+    return effects;
 }
 
-bool send_allowance::is_in_use(const endpoint_record& endpoint, duration, time_point) const {
+bool send_allowance::is_not_evacuated(const endpoint_record& endpoint, duration, time_point) const {
     return !evacuated_.contains(endpoint.domain);
 }
 
-bool send_allowance::is_staying(const endpoint_record& endpoint, duration, time_point) const {
+bool send_allowance::is_not_leaving(const endpoint_record& endpoint, duration, time_point) const {
     return !leaving_.is_leaving(endpoint);
 }
 
-bool send_allowance::is_rested(const endpoint_record& endpoint, duration patience, time_point now) const {
-    return back_offs_.may_send_within(endpoint.name, patience, now);
+bool send_allowance::is_past_back_off(const endpoint_record& endpoint, duration max_wait, time_point now) const {
+    return back_offs_.may_send_within(endpoint.name, max_wait, now);
 }
 
-bool send_allowance::is_within_limit(const endpoint_record& endpoint, duration patience,
+bool send_allowance::is_within_rate_limit(const endpoint_record& endpoint, duration max_wait,
                                      time_point now) const {
-    return limits_.may_send_within(endpoint.name, patience, now);
+    return limits_.may_send_within(endpoint.name, max_wait, now);
 }
 
-bool send_allowance::is_warm_enough(const endpoint_record& endpoint, duration patience,
+bool send_allowance::is_within_cold_limit(const endpoint_record& endpoint, duration max_wait,
                                     time_point now) const {
-    return cold_.may_send_within(endpoint.name, patience, now);
+    return cold_.may_send_within(endpoint.name, max_wait, now);
 }
 
 } // namespace laurelhoist
--- a/src/placement/send_allowance.h
+++ b/src/placement/send_allowance.h
@@ -1,6 +1,6 @@
 /** \file
  * Defines whether this host may send a request to an endpoint now, for reasons beyond the endpoint's own
- * standing: what operators have ordered, what the endpoint has said of itself, and what its state bears.
+ * standing: what operators have ordered, what the endpoint has statement of itself, and what its state bears.
  *
  * Everything that is placed asks here: first and later attempts, steps up to a larger model, resumed streams,
  * trials of a release, calls of plain services and what has waited. All reasons have to allow it, so that the
@@ -26,23 +26,23 @@
 };
 
 /** What a statement has changed here. */
-struct statement_news {
-    bool is_new_limit = false; ///< another limit holds, or none any more
-    bool is_rest = false;
-    bool is_farewell = false;
+struct statement_effects {
+    bool is_limit_changed = false; ///< another limit holds, or none any more
+    bool has_back_off = false;
+    bool is_newly_leaving = false;
 };
 
 /** Why an endpoint gets no request of this host now. */
-enum class send_bar {
+enum class exclusion {
     none,
     evacuated,    ///< operators want nothing sent to its failure domain
-    leaving,      ///< it has said itself that it is leaving
+    leaving,      ///< it has statement itself that it is leaving
     back_off,     ///< it has asked this host for rest
     rate_limited, ///< it names a limit, and this host's next turn has not come
     cold,         ///< it has just started, and this host's next turn has not come
 };
 
-const char* to_string(send_bar bar);
+const char* to_string(exclusion reason);
 
 /** The endpoints that may be sent to, as one host knows them. No I/O; the time is an argument. */
 class send_allowance {
@@ -52,21 +52,21 @@
 
     void update(const std::vector<endpoint_record>& endpoints, time_point now);
     /** Takes the live hosts; to be called a few times a second. */
-    void set_hosts(const sponsor_view& view, time_point now);
+    void set_hosts(const host_view& view, time_point now);
     /** Sets the failure domains whose endpoints get nothing more; those of domains that are in use again
      * count as cold. */
     void set_evacuated(const evacuation_set& evacuated, time_point now);
 
-    /** \return the first reason not to send to \p endpoint that lasts for longer than \p patience */
-    send_bar bar(const endpoint_record& endpoint, duration patience, time_point now) const;
+    /** \return the first reason not to send to \p endpoint that lasts for longer than \p max_wait */
+    exclusion exclusion_of(const endpoint_record& endpoint, duration max_wait, time_point now) const;
     /** \return whether something became known after \p chosen_at that forbids to send to \p endpoint. */
-    bool is_barred_since(const endpoint_record& endpoint, time_point chosen_at) const;
+    bool is_excluded_since(const endpoint_record& endpoint, time_point chosen_at) const;
     /** \return after what time an endpoint of \p service that is cold, limited or resting now may get a
      * request, or nothing if none is */
-    std::optional<duration> room_in(const std::string& service, time_point now) const;
+    std::optional<duration> time_until_available(const std::string& service, time_point now) const;
     void on_sent(const std::string& endpoint, time_point now);
     /** Takes what \p endpoint says in its answer to a request that was sent at \p sent_at. */
-    statement_news note(const endpoint_record& endpoint, const endpoint_statement& said, time_point sent_at,
+    statement_effects note(const endpoint_record& endpoint, const endpoint_statement& statement, time_point sent_at,
                         time_point now);
 
     cold_endpoints& cold() { return cold_; }
@@ -75,17 +75,17 @@
     const rate_limits& limits() const { return limits_; }
 
 private:
-    struct guard {
-        send_bar reason;
-        bool (send_allowance::*allows)(const endpoint_record&, duration patience, time_point now) const;
+    struct exclusion_check {
+        exclusion reason;
+        bool (send_allowance::*allows)(const endpoint_record&, duration max_wait, time_point now) const;
     };
-    static const guard guards[];
+    static const exclusion_check exclusion_checks[];
 
-    bool is_in_use(const endpoint_record& endpoint, duration patience, time_point now) const;
-    bool is_staying(const endpoint_record& endpoint, duration patience, time_point now) const;
-    bool is_rested(const endpoint_record& endpoint, duration patience, time_point now) const;
-    bool is_within_limit(const endpoint_record& endpoint, duration patience, time_point now) const;
-    bool is_warm_enough(const endpoint_record& endpoint, duration patience, time_point now) const;
+    bool is_not_evacuated(const endpoint_record& endpoint, duration max_wait, time_point now) const;
+    bool is_not_leaving(const endpoint_record& endpoint, duration max_wait, time_point now) const;
+    bool is_past_back_off(const endpoint_record& endpoint, duration max_wait, time_point now) const;
+    bool is_within_rate_limit(const endpoint_record& endpoint, duration max_wait, time_point now) const;
+    bool is_within_cold_limit(const endpoint_record& endpoint, duration max_wait, time_point now) const;
 
     cold_endpoints cold_;
     rate_limits limits_;
--- a/src/placement/sponsors.h
+++ b/src/placement/sponsors.h
@@ -10,9 +10,9 @@
 namespace laurelhoist {
 
 /** The live hosts, as one of them knows them. */
-struct sponsor_view {
+struct host_view {
     std::vector<host_status> hosts;
-    bool knows_others = false; ///< this host has run for long enough to have heard of all
+    bool has_full_view = false; ///< this host has run for long enough to have heard of all
 };
 
 /** Picks sponsors by rendezvous hash: hosts of the endpoint's failure domain if it has enough, otherwise of
--- a/src/recovery/crash_quarantine.cpp
+++ b/src/recovery/crash_quarantine.cpp
@@ -7,38 +7,38 @@
 
 namespace {
 
-/// Requests held at once, of some 300 bytes each: a caller who sends new bodies all the time cannot fill the
+/// Requests entry at once, of some 300 bytes each: a caller who sends new bodies all the time cannot fill the
 /// memory.
-constexpr std::size_t most_records = 512;
-constexpr std::size_t most_ends = 16;
-/// A first or second end is held against a request for so long. Callers come back within their time limit of
+constexpr std::size_t max_records = 512;
+constexpr std::size_t max_ends_per_request = 16;
+/// A first or second end is entry against a request for so long. Callers come back within their time limit of
 /// some 20 s; what ends an endpoint once in minutes does little harm.
-constexpr duration suspicion_life = seconds(120);
+constexpr duration unquarantined_ttl = seconds(120);
 /// From the last end until a quarantined request is tried again: the first time, then each time this many
 /// times longer. A common question that was quarantined wrongly is back soon; one that does end endpoints
 /// ends five in an hour.
-constexpr duration first_trial = seconds(20);
-constexpr double trial_growth = 4.0;
-constexpr duration longest_quarantine = seconds(3600);
+constexpr duration first_trial_delay = seconds(20);
+constexpr double trial_delay_factor = 4.0;
+constexpr duration max_trial_delay = seconds(3600);
 /// Beyond the time of the trial: then the request starts anew, in case the one host that may try it never
 /// gets it.
-constexpr duration quarantine_life = seconds(600);
+constexpr duration quarantine_ttl = seconds(600);
 /// Under way for longer, a trial has come to nothing and another is made.
-constexpr duration trial_time = seconds(30);
+constexpr duration trial_timeout = seconds(30);
 /// Told for so long, so that a clearing outruns older news of ends.
-constexpr duration clearing_life = seconds(30);
+constexpr duration clearing_ttl = seconds(30);
 /// Ages grow by the time that a message takes; what is later by less is the same clearing heard again.
 constexpr duration clearing_tolerance = seconds(1);
 /// Hosts notice the same end within so long. A later one of the same process is of another process that took
 /// its name, which the store says only seconds later.
-constexpr duration end_spread = milliseconds(500);
-constexpr std::size_t keepers = 3; ///< two may be lost or out of touch
+constexpr duration same_end_window = milliseconds(500);
+constexpr std::size_t trackers_per_request = 3; ///< two may be lost or out of touch
 
 std::int64_t age_ms(time_point at, time_point now) {
     return std::max<std::int64_t>(0, std::llround(to_ms(now - at)));
 }
 
-time_point moment_of(std::int64_t age, time_point now) {
+time_point time_from_age(std::int64_t age, time_point now) {
     return now - milliseconds(std::max<std::int64_t>(0, age));
 }
 
@@ -48,7 +48,7 @@
 
 } // namespace
 
-std::vector<endpoint_end> in_a_row(const std::vector<endpoint_end>& ends) {
+std::vector<endpoint_end> consecutive_ends(const std::vector<endpoint_end>& ends) {
     std::vector<endpoint_end> row;
     for (const endpoint_end& end : ends) {
         if (row.empty() || end.sent_at >= row.back().ended_at) {
@@ -58,8 +58,8 @@
     return row;
 }
 
-std::vector<std::string> keepers_of(request_digest digest, std::vector<std::string> hosts) {
-    const std::size_t count = std::min(keepers, hosts.size());
+std::vector<std::string> trackers_of(request_digest digest, std::vector<std::string> hosts) {
+    const std::size_t count = std::min(trackers_per_request, hosts.size());
     std::partial_sort(hosts.begin(), hosts.begin() + static_cast<std::ptrdiff_t>(count), hosts.end(),
                       [digest](const std::string& left, const std::string& right) {
                           return rank_of(digest, left) < rank_of(digest, right);
@@ -68,13 +68,13 @@
     return hosts;
 }
 
-void crash_quarantine::set_hosts(std::vector<std::string> hosts, bool knows_others) {
+void crash_quarantine::set_hosts(std::vector<std::string> hosts, bool has_full_view) {
     hosts_ = std::move(hosts);
-    knows_others_ = knows_others;
+    has_full_view_ = has_full_view;
 }
 
 bool crash_quarantine::is_trial_host(request_digest digest) const {
-    if (!knows_others_) {
+    if (!has_full_view_) {
         return false;
     }
     const std::uint64_t own = rank_of(digest, host_);
@@ -83,11 +83,11 @@
     });
 }
 
-time_point crash_quarantine::trial_due(const record& held) {
-    const double times = std::pow(trial_growth, held.counted - ends_to_quarantine);
-    const double most = to_ms(longest_quarantine) / to_ms(first_trial);
-    return held.ends.back().ended_at +
-           std::chrono::duration_cast<duration>(first_trial * std::min(times, most));
+time_point crash_quarantine::trial_due(const record& entry) {
+    const double times = std::pow(trial_delay_factor, entry.counted_ends - ends_to_quarantine);
+    const double most = to_ms(max_trial_delay) / to_ms(first_trial_delay);
+    return entry.ends.back().ended_at +
+           std::chrono::duration_cast<duration>(first_trial_delay * std::min(times, most));
 }
 
 bool crash_quarantine::may_send(request_digest digest, time_point now) const {
@@ -95,9 +95,9 @@
     if (found == records_.end() || !is_quarantined(found->second)) {
         return true;
     }
-    const record& held = found->second;
-    const bool is_tried = held.tried_at && now - *held.tried_at < trial_time;
-    return now >= trial_due(held) && !is_tried && is_trial_host(digest);
+    const record& entry = found->second;
+    const bool is_tried = entry.tried_at && now - *entry.tried_at < trial_timeout;
+    return now >= trial_due(entry) && !is_tried && is_trial_host(digest);
 }
 
 bool crash_quarantine::on_sent(request_digest digest, time_point now) {
@@ -111,19 +111,19 @@
 
 int crash_quarantine::ends_of(request_digest digest) const {
     const auto found = records_.find(digest);
-    return found == records_.end() ? 0 : found->second.counted;
+    return found == records_.end() ? 0 : found->second.counted_ends;
 }
 
-crash_quarantine::record& crash_quarantine::hold(request_digest digest, time_point now) {
+crash_quarantine::record& crash_quarantine::find_or_add(request_digest digest, time_point now) {
     const auto found = records_.find(digest);
     if (found != records_.end()) {
         return found->second;
     }
-    if (records_.size() >= most_records) {
+    if (records_.size() >= max_records) {
         const auto least =
             std::min_element(records_.begin(), records_.end(), [](const auto& left, const auto& right) {
-                return std::make_pair(left.second.counted, left.second.changed_at) <
-                       std::make_pair(right.second.counted, right.second.changed_at);
+                return std::make_pair(left.second.counted_ends, left.second.changed_at) <
+                       std::make_pair(right.second.counted_ends, right.second.changed_at);
             });
         records_.erase(least);
     }
@@ -132,54 +132,54 @@
     return made;
 }
 
-bool crash_quarantine::add_end(record& held, const endpoint_end& end) {
-    const bool is_known = std::any_of(held.ends.begin(), held.ends.end(), [&](const endpoint_end& each) {
-        return each.process == end.process && std::chrono::abs(each.ended_at - end.ended_at) < end_spread;
+bool crash_quarantine::add_end(record& entry, const endpoint_end& end) {
+    const bool is_known = std::any_of(entry.ends.begin(), entry.ends.end(), [&](const endpoint_end& each) {
+        return each.process == end.process && std::chrono::abs(each.ended_at - end.ended_at) < same_end_window;
     });
-    if (is_known || (held.cleared_at && end.ended_at <= *held.cleared_at)) {
+    if (is_known || (entry.cleared_at && end.ended_at <= *entry.cleared_at)) {
         return false;
     }
     const auto later = std::upper_bound(
-        held.ends.begin(), held.ends.end(), end,
+        entry.ends.begin(), entry.ends.end(), end,
         [](const endpoint_end& left, const endpoint_end& right) { return left.ended_at < right.ended_at; });
-    held.ends.insert(later, end);
-    if (held.ends.size() > most_ends) {
-        held.ends.erase(held.ends.begin());
+    entry.ends.insert(later, end);
+    if (entry.ends.size() > max_ends_per_request) {
+        entry.ends.erase(entry.ends.begin());
     }
     return true;
 }
 
-bool crash_quarantine::clear_before(record& held, time_point cleared_at) {
-    if (held.cleared_at && cleared_at <= *held.cleared_at + clearing_tolerance) {
+bool crash_quarantine::clear_before(record& entry, time_point cleared_at) {
+    if (entry.cleared_at && cleared_at <= *entry.cleared_at + clearing_tolerance) {
         return false;
     }
-    held.cleared_at = cleared_at;
-    held.ends.erase(std::remove_if(held.ends.begin(), held.ends.end(),
+    entry.cleared_at = cleared_at;
+    entry.ends.erase(std::remove_if(entry.ends.begin(), entry.ends.end(),
                                    [&](const endpoint_end& end) { return end.ended_at <= cleared_at; }),
-                    held.ends.end());
+                    entry.ends.end());
     return true;
 }
 
-void crash_quarantine::note_change(request_digest digest, record& held, int counted_before, time_point now) {
-    held.counted = static_cast<int>(in_a_row(held.ends).size());
-    held.concerns_all = held.concerns_all || held.counted >= ends_to_tell_all;
-    held.changed_at = now;
+void crash_quarantine::update_count(request_digest digest, record& entry, int counted_before, time_point now) {
+    entry.counted_ends = static_cast<int>(consecutive_ends(entry.ends).size());
+    entry.is_fleet_wide = entry.is_fleet_wide || entry.counted_ends >= ends_to_announce;
+    entry.changed_at = now;
     const bool was_quarantined = counted_before >= ends_to_quarantine;
-    if (is_quarantined(held) && held.counted > counted_before) {
+    if (is_quarantined(entry) && entry.counted_ends > counted_before) {
         log_warning("request_quarantined", {{"digest", to_text(digest)},
-                                            {"ends", held.counted},
-                                            {"trial_in_ms", std::llround(to_ms(trial_due(held) - now))}});
-    } else if (was_quarantined && !is_quarantined(held)) {
+                                            {"ends", entry.counted_ends},
+                                            {"trial_in_ms", std::llround(to_ms(trial_due(entry) - now))}});
+    } else if (was_quarantined && !is_quarantined(entry)) {
         log_info("quarantine_lifted", {{"digest", to_text(digest)}});
     }
 }
 
 void crash_quarantine::on_end(request_digest digest, const endpoint_end& end, time_point now) {
-    record& held = hold(digest, now);
-    const int before = held.counted;
-    if (add_end(held, end)) {
-        note_change(digest, held, before, now);
-        held.is_untold = true;
+    record& entry = find_or_add(digest, now);
+    const int before = entry.counted_ends;
+    if (add_end(entry, end)) {
+        update_count(digest, entry, before, now);
+        entry.is_pending = true;
     }
 }
 
@@ -188,60 +188,60 @@
     if (found == records_.end() || found->second.ends.empty()) {
         return;
     }
-    record& held = found->second;
-    const int before = held.counted;
-    clear_before(held, now);
-    note_change(digest, held, before, now);
-    held.is_untold = true;
+    record& entry = found->second;
+    const int before = entry.counted_ends;
+    clear_before(entry, now);
+    update_count(digest, entry, before, now);
+    entry.is_pending = true;
 }
 
 void crash_quarantine::merge(const std::vector<crash_notice>& notices, time_point now) {
     for (const crash_notice& notice : notices) {
-        record& held = hold(notice.digest, now);
-        const int before = held.counted;
+        record& entry = find_or_add(notice.digest, now);
+        const int before = entry.counted_ends;
         bool is_news =
-            notice.cleared_age_ms >= 0 && clear_before(held, moment_of(notice.cleared_age_ms, now));
-        for (const told_end& end : notice.ends) {
-            const endpoint_end heard{end.process, moment_of(end.sent_age_ms, now),
-                                     moment_of(end.ended_age_ms, now)};
-            is_news = add_end(held, heard) || is_news;
+            notice.cleared_age_ms >= 0 && clear_before(entry, time_from_age(notice.cleared_age_ms, now));
+        for (const end_report& end : notice.ends) {
+            const endpoint_end heard{end.process, time_from_age(end.sent_age_ms, now),
+                                     time_from_age(end.ended_age_ms, now)};
+            is_news = add_end(entry, heard) || is_news;
         }
         if (!is_news) {
             continue;
         }
-        note_change(notice.digest, held, before, now);
+        update_count(notice.digest, entry, before, now);
         // Put together here from what several hosts saw: none of them knows it all.
-        held.is_untold = held.is_untold || (held.counted > static_cast<int>(notice.ends.size()) &&
-                                            held.counted >= ends_to_tell_all);
+        entry.is_pending = entry.is_pending || (entry.counted_ends > static_cast<int>(notice.ends.size()) &&
+                                            entry.counted_ends >= ends_to_announce);
     }
 }
 
 void crash_quarantine::forget_old(time_point now) {
     for (auto item = records_.begin(); item != records_.end();) {
-        const record& held = item->second;
-        const time_point over_at = is_quarantined(held) ? trial_due(held) + quarantine_life
-                                   : !held.ends.empty() ? held.ends.back().ended_at + suspicion_life
-                                                        : held.cleared_at.value_or(now) + clearing_life;
-        const bool is_over = now > over_at || (held.ends.empty() && !held.cleared_at);
+        const record& entry = item->second;
+        const time_point over_at = is_quarantined(entry) ? trial_due(entry) + quarantine_ttl
+                                   : !entry.ends.empty() ? entry.ends.back().ended_at + unquarantined_ttl
+                                                        : entry.cleared_at.value_or(now) + clearing_ttl;
+        const bool is_over = now > over_at || (entry.ends.empty() && !entry.cleared_at);
         item = is_over ? records_.erase(item) : std::next(item);
     }
 }
 
-crash_notice crash_quarantine::to_notice(request_digest digest, const record& held, time_point now) {
+crash_notice crash_quarantine::to_notice(request_digest digest, const record& entry, time_point now) {
     crash_notice notice;
     notice.digest = digest;
-    for (const endpoint_end& end : in_a_row(held.ends)) {
+    for (const endpoint_end& end : consecutive_ends(entry.ends)) {
         notice.ends.push_back({end.process, age_ms(end.sent_at, now), age_ms(end.ended_at, now)});
     }
-    notice.cleared_age_ms = held.cleared_at ? age_ms(*held.cleared_at, now) : -1;
+    notice.cleared_age_ms = entry.cleared_at ? age_ms(*entry.cleared_at, now) : -1;
     return notice;
 }
 
 std::vector<crash_notice> crash_quarantine::known(std::size_t most, time_point now) const {
     std::vector<std::pair<time_point, request_digest>> order;
-    for (const auto& [digest, held] : records_) {
-        if (held.concerns_all) {
-            order.emplace_back(held.changed_at, digest);
+    for (const auto& [digest, entry] : records_) {
+        if (entry.is_fleet_wide) {
+            order.emplace_back(entry.changed_at, digest);
         }
     }
     std::sort(order.rbegin(), order.rend());
@@ -253,24 +253,24 @@
     return notices;
 }
 
-crash_quarantine::untold crash_quarantine::take_untold(time_point now) {
-    untold taken;
-    for (auto& [digest, held] : records_) {
-        if (!held.is_untold) {
+crash_quarantine::pending_notices crash_quarantine::take_pending(time_point now) {
+    pending_notices taken;
+    for (auto& [digest, entry] : records_) {
+        if (!entry.is_pending) {
             continue;
         }
-        held.is_untold = false;
-        (held.concerns_all ? taken.for_all : taken.for_keepers).push_back(to_notice(digest, held, now));
+        entry.is_pending = false;
+        (entry.is_fleet_wide ? taken.for_all : taken.for_trackers).push_back(to_notice(digest, entry, now));
     }
     return taken;
 }
 
 std::vector<quarantined_request> crash_quarantine::quarantined(time_point now) const {
     std::vector<quarantined_request> listed;
-    for (const auto& [digest, held] : records_) {
-        if (is_quarantined(held)) {
-            const duration left = std::max<duration>(duration::zero(), trial_due(held) - now);
-            listed.push_back({to_text(digest), held.counted, std::llround(to_ms(left))});
+    for (const auto& [digest, entry] : records_) {
+        if (is_quarantined(entry)) {
+            const duration left = std::max<duration>(duration::zero(), trial_due(entry) - now);
+            listed.push_back({to_text(digest), entry.counted_ends, std::llround(to_ms(left))});
         }
     }
     return listed;
--- a/src/recovery/crash_quarantine.h
+++ b/src/recovery/crash_quarantine.h
@@ -7,7 +7,7 @@
  *
  * Whose fault an end is: all that was under way there ends with it, and a long stream or a common question is
  * under way at many ends. Counted against a request is an attempt that had passed nothing on when the process
- * ended, and that was sent after the end counted before: a failure domain that is lost at once counts once,
+ * ended, and that was sent after the end counted_ends before: a failure domain that is lost at once counts once,
  * however many copies of a common question were under way there. One whole answer clears a request. After
  * \ref ends_to_quarantine ends it is quarantined: no host sends it. Example: sent at 0 s, ended 1 at 0.1 s; a
  * copy sent at 0.05 s ends 2 at 0.2 s, which does not count; sent again at 0.2 s, ended 3 at 0.3 s: two ends
@@ -32,7 +32,7 @@
 /// three.
 constexpr int ends_to_quarantine = 3;
 /// Fewer is nobody's concern but of those that count; with two, one whole answer anywhere must clear it.
-constexpr int ends_to_tell_all = 2;
+constexpr int ends_to_announce = 2;
 
 /** The end of an endpoint's process under an attempt. */
 struct endpoint_end {
@@ -42,17 +42,17 @@
 };
 
 /** An \ref endpoint_end as hosts tell it, by ages: their clocks have nothing in common. */
-struct told_end {
+struct end_report {
     std::uint32_t process = 0;
     std::int64_t sent_age_ms = 0;
     std::int64_t ended_age_ms = 0;
 };
-LAUREL_VALUE_TYPE(told_end, process, sent_age_ms, ended_age_ms)
+LAUREL_VALUE_TYPE(end_report, process, sent_age_ms, ended_age_ms)
 
 /** What a host knows of one request. */
 struct crash_notice {
     request_digest digest = 0;
-    std::vector<told_end> ends;
+    std::vector<end_report> ends;
     std::int64_t cleared_age_ms = -1; ///< since it was answered or an operator cleared it; -1: it was not
 };
 LAUREL_VALUE_TYPE(crash_notice, digest, ends, cleared_age_ms)
@@ -72,10 +72,10 @@
     explicit crash_quarantine(std::string host) : host_{std::move(host)} {}
 
     /** Sets the live hosts, of which one tries a quarantined request again.
-     * \param knows_others whether this host has run for long enough to have heard of all */
-    void set_hosts(std::vector<std::string> hosts, bool knows_others);
+     * \param has_full_view whether this host has run for long enough to have heard of all */
+    void set_hosts(std::vector<std::string> hosts, bool has_full_view);
 
-    /** \return whether nothing is held against any request, so that no digest need be worked out. */
+    /** \return whether nothing is entry against any request, so that no digest need be worked out. */
     bool is_empty() const { return records_.empty(); }
     /** \return whether this host may send the request now. */
     bool may_send(request_digest digest, time_point now) const;
@@ -96,45 +96,45 @@
     /** \return what all hosts should know, at most \p most of it, the newest first */
     std::vector<crash_notice> known(std::size_t most, time_point now) const;
     /** What became known here and has not been told. */
-    struct untold {
+    struct pending_notices {
         std::vector<crash_notice> for_all;     ///< may be quarantined soon, is, or was and is cleared
-        std::vector<crash_notice> for_keepers; ///< a first end or its clearing, for those that count it
+        std::vector<crash_notice> for_trackers; ///< a first end or its clearing, for those that count it
     };
-    untold take_untold(time_point now);
+    pending_notices take_pending(time_point now);
     std::vector<quarantined_request> quarantined(time_point now) const;
 
 private:
     struct record {
-        std::vector<endpoint_end> ends; ///< at most \ref most_ends, by the time of the end
+        std::vector<endpoint_end> ends; ///< at most \ref max_ends_per_request, by the time of the end
         std::optional<time_point> cleared_at;
         std::optional<time_point> tried_at; ///< by this host
         time_point changed_at;
-        int counted = 0; ///< \ref count_in_a_row of the ends
-        bool is_untold = false;
-        bool concerns_all = false; ///< \ref ends_to_tell_all ends have counted against it
+        int counted_ends = 0; ///< \ref count_in_a_row of the ends
+        bool is_pending = false;
+        bool is_fleet_wide = false; ///< \ref ends_to_announce ends have counted_ends against it
     };
 
-    static bool is_quarantined(const record& held) { return held.counted >= ends_to_quarantine; }
-    static time_point trial_due(const record& held);
-    static crash_notice to_notice(request_digest digest, const record& held, time_point now);
+    static bool is_quarantined(const record& entry) { return entry.counted_ends >= ends_to_quarantine; }
+    static time_point trial_due(const record& entry);
+    static crash_notice to_notice(request_digest digest, const record& entry, time_point now);
     bool is_trial_host(request_digest digest) const;
-    record& hold(request_digest digest, time_point now);
-    static bool add_end(record& held, const endpoint_end& end);
-    static bool clear_before(record& held, time_point cleared_at);
-    void note_change(request_digest digest, record& held, int counted_before, time_point now);
+    record& find_or_add(request_digest digest, time_point now);
+    static bool add_end(record& entry, const endpoint_end& end);
+    static bool clear_before(record& entry, time_point cleared_at);
+    void update_count(request_digest digest, record& entry, int counted_before, time_point now);
 
     std::string host_;
     std::vector<std::string> hosts_;
-    bool knows_others_ = false;
+    bool has_full_view_ = false;
     std::map<request_digest, record> records_;
 };
 
 /** \return of \p ends, ordered by their time, those in a row: each attempt sent after the end before it. They
  * are the most that can be put in a row. */
-std::vector<endpoint_end> in_a_row(const std::vector<endpoint_end>& ends);
+std::vector<endpoint_end> consecutive_ends(const std::vector<endpoint_end>& ends);
 
 /** \return which of \p hosts count the first ends under \p digest: a few, the same on each host that knows
  * the same others */
-std::vector<std::string> keepers_of(request_digest digest, std::vector<std::string> hosts);
+std::vector<std::string> trackers_of(request_digest digest, std::vector<std::string> hosts);
 
 } // namespace laurelhoist
--- a/src/relay/exchange.cpp
+++ b/src/relay/exchange.cpp
@@ -224,7 +224,7 @@
     const std::size_t sizes = std::max<std::size_t>(1, route_->models.size());
     for (std::size_t size = least_size; size < sizes && size - least_size < most; ++size) {
         const std::string model = route_->models.empty() ? std::string{} : route_->models[size];
-        const model_demand demand{model, state_.first_events.costs(model, size)};
+        const target_model demand{model, state_.first_events.costs(model, size)};
         if (const auto chosen = state_.endpoints.choose(wish, prompt_, demand, now)) {
             found.options.push_back({size, chosen->predicted_ms});
             found.placements.push_back(*chosen);
@@ -286,7 +286,7 @@
 
 void exchange::note_bars(time_point now) {
     json reasons = json::object();
-    for (const auto& [bar, count] : state_.endpoints.bars_of(service_, now)) {
+    for (const auto& [bar, count] : state_.endpoints.count_exclusions(service_, now)) {
         reasons[to_string(bar)] = count;
         state_.measured.count(std::string("requests_barred_") + to_string(bar));
     }
@@ -295,7 +295,7 @@
 }
 
 duration exchange::time_to_room(time_point now) const {
-    return spread_over(state_.endpoints.allowance().room_in(service_, now).value_or(nowhere_retry),
+    return spread_over(state_.endpoints.allowance().time_until_available(service_, now).value_or(nowhere_retry),
                        terms_.id);
 }
 
@@ -338,7 +338,7 @@
         answer_quarantined();
         return;
     }
-    if (state_.endpoints.allowance().is_barred_since(attempt_.chosen.endpoint, attempt_.sent_at)) {
+    if (state_.endpoints.allowance().is_excluded_since(attempt_.chosen.endpoint, attempt_.sent_at)) {
         place_again();
         return;
     }
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -131,20 +131,20 @@
 void relay::note_statement(const endpoint_record& endpoint, const endpoint_statement& said,
                            time_point sent_at, const std::string& request) {
     const time_point now = monotonic_now();
-    const statement_news news = state_.endpoints.allowance().note(endpoint, said, sent_at, now);
+    const statement_effects news = state_.endpoints.allowance().note(endpoint, said, sent_at, now);
     if (said.rate_limit) {
         state_.measured.count("answers_naming_a_limit");
     }
-    if (news.is_rest) {
+    if (news.has_back_off) {
         state_.measured.count("endpoints_asking_for_rest");
         log_info("endpoint_back_off",
                  {{"endpoint", endpoint.name}, {"rest_ms", to_ms(*said.back_off)}, {"request", request}});
     }
-    if (news.is_farewell) {
+    if (news.is_newly_leaving) {
         state_.measured.count("endpoints_saying_they_leave");
         log_info("endpoint_leaving", {{"endpoint", endpoint.name}, {"request", request}});
     }
-    if (news.is_new_limit) {
+    if (news.is_limit_changed) {
         log_info("endpoint_rate_limit", {{"endpoint", endpoint.name},
                                          {"requests_per_s", said.rate_limit.value_or(logged_no_limit)},
                                          {"request", request},
--- a/test/back_offs_test.cpp
+++ b/test/back_offs_test.cpp
@@ -17,45 +17,45 @@
 // Guards against a second refusal that shortens the rest which the first has asked for.
 RC_GTEST_PROP(back_offs, the_latest_end_of_all_that_was_asked_holds,
               (const std::vector<std::uint16_t>& rests)) {
-    back_offs held;
+    back_offs backing_off;
     time_point now = start;
     time_point until = start;
     for (const std::uint16_t rest_ms : rests) {
-        held.note(engine(), milliseconds(rest_ms), now);
+        backing_off.note(engine(), milliseconds(rest_ms), now);
         until = std::max(until, now + milliseconds(rest_ms));
-        RC_ASSERT(held.may_send_within("e", until - now, now));
-        RC_ASSERT(until == now || !held.may_send_within("e", until - now - duration(1), now));
+        RC_ASSERT(backing_off.may_send_within("e", until - now, now));
+        RC_ASSERT(until == now || !backing_off.may_send_within("e", until - now - duration(1), now));
         now += milliseconds(100);
     }
 }
 
 // Guards against a new process that is left alone because the one before asked for it.
 TEST(back_offs, a_restart_ends_the_rest) {
-    back_offs held;
-    held.note(engine(), seconds(3), start);
-    held.update({engine()}, start + seconds(1));
-    EXPECT_FALSE(held.may_send_within("e", duration::zero(), start + seconds(1)));
-    EXPECT_EQ(held.room_in("pool", start + seconds(1)), seconds(2));
-    held.update({engine(9000)}, start + seconds(1));
-    EXPECT_TRUE(held.may_send_within("e", duration::zero(), start + seconds(1)));
-    EXPECT_EQ(held.room_in("pool", start + seconds(1)), std::nullopt);
+    back_offs backing_off;
+    backing_off.note(engine(), seconds(3), start);
+    backing_off.update({engine()}, start + seconds(1));
+    EXPECT_FALSE(backing_off.may_send_within("e", duration::zero(), start + seconds(1)));
+    EXPECT_EQ(backing_off.time_until_available("pool", start + seconds(1)), seconds(2));
+    backing_off.update({engine(9000)}, start + seconds(1));
+    EXPECT_TRUE(backing_off.may_send_within("e", duration::zero(), start + seconds(1)));
+    EXPECT_EQ(backing_off.time_until_available("pool", start + seconds(1)), std::nullopt);
 }
 
 // Guards against an entry that lapses in an outage of the store and is back before the rest is over.
 TEST(back_offs, an_endpoint_that_is_back_in_the_list_still_rests) {
-    back_offs held;
-    held.note(engine(), seconds(3), start);
-    held.update({}, start + seconds(1));
-    held.update({engine()}, start + seconds(2));
-    EXPECT_FALSE(held.may_send_within("e", duration::zero(), start + seconds(2)));
+    back_offs backing_off;
+    backing_off.note(engine(), seconds(3), start);
+    backing_off.update({}, start + seconds(1));
+    backing_off.update({engine()}, start + seconds(2));
+    EXPECT_FALSE(backing_off.may_send_within("e", duration::zero(), start + seconds(2)));
 }
 
 // Guards against a request that is sent although the refusal came while its connection was made.
 TEST(back_offs, what_was_chosen_before_the_refusal_is_known_by_its_time) {
-    back_offs held;
-    held.note(engine(), seconds(3), start);
-    EXPECT_TRUE(held.has_begun_since("e", start - milliseconds(1)));
-    EXPECT_FALSE(held.has_begun_since("e", start + milliseconds(1)));
+    back_offs backing_off;
+    backing_off.note(engine(), seconds(3), start);
+    EXPECT_TRUE(backing_off.has_begun_since("e", start - milliseconds(1)));
+    EXPECT_FALSE(backing_off.has_begun_since("e", start + milliseconds(1)));
 }
 
 } // namespace
--- a/test/cold_endpoints_test.cpp
+++ b/test/cold_endpoints_test.cpp
@@ -35,7 +35,7 @@
     return made;
 }
 
-cold_endpoints knowing(const std::string& name, const std::vector<endpoint_record>& endpoints,
+cold_endpoints make_cold_endpoints(const std::string& name, const std::vector<endpoint_record>& endpoints,
                        const std::string& sharing = "sponsors") {
     cold_endpoints made(name, {1.5, 5}, sharing);
     made.set_services({{"pool", engine_start}});
@@ -44,10 +44,10 @@
 }
 
 /** Hosts that send to one cold endpoint whenever they may. */
-struct eager_fleet {
-    eager_fleet(int count, const std::string& sharing) {
+struct cold_fleet {
+    cold_fleet(int count, const std::string& sharing) {
         for (int i = 0; i < count; ++i) {
-            fleet.push_back(knowing("host" + std::to_string(i), {engine("e", 3000)}, sharing));
+            fleet.push_back(make_cold_endpoints("host" + std::to_string(i), {engine("e", 3000)}, sharing));
         }
     }
     void send_all(time_point now) {
@@ -84,7 +84,7 @@
     const int step_of_cut = *rc::gen::inRange(0, 12);
     const int cut_off = *rc::gen::inRange(0, count);
     const int restarted = *rc::gen::inRange(0, count);
-    eager_fleet all(count, sharing);
+    cold_fleet all(count, sharing);
     const std::vector<host_status> everybody = hosts(count, domains);
     const std::vector<host_status> near(everybody.begin(), everybody.begin() + cut_off);
     const std::vector<host_status> far(everybody.begin() + cut_off, everybody.end());
@@ -95,10 +95,10 @@
             const bool is_near = i < cut_off;
             const bool has_restarted = step == 6 && i < restarted;
             if (has_restarted) {
-                all.fleet[i] = knowing("host" + std::to_string(i), {engine("e", 3000)}, sharing);
+                all.fleet[i] = make_cold_endpoints("host" + std::to_string(i), {engine("e", 3000)}, sharing);
             }
-            const bool knows_others = step < 6 || i >= restarted;
-            all.fleet[i].set_hosts({!is_cut ? everybody : is_near ? near : far, knows_others}, now);
+            const bool has_full_view = step < 6 || i >= restarted;
+            all.fleet[i].set_hosts({!is_cut ? everybody : is_near ? near : far, has_full_view}, now);
         }
         for (int tick = 0; tick < 25; ++tick) {
             all.send_all(now + tick * milliseconds(10));
@@ -108,7 +108,7 @@
 }
 
 TEST(cold_endpoints, without_the_guard_the_bound_is_broken) {
-    eager_fleet all(77, "sponsors");
+    cold_fleet all(77, "sponsors");
     for (cold_endpoints& each : all.fleet) {
         each.update({engine("e", 0)}, start + milliseconds(1)); // Taken for warm.
     }
@@ -119,7 +119,7 @@
 // All engines of a fleet are cold after a loss of power. With nobody to send to them no caller is served
 // until they are warm.
 TEST(cold_endpoints, sponsors_use_a_third_of_what_a_cold_endpoint_takes) {
-    eager_fleet all(77, "sponsors");
+    cold_fleet all(77, "sponsors");
     for (int step = 0; step < 300; ++step) {
         const time_point now = start + step * milliseconds(10);
         for (cold_endpoints& each : all.fleet) {
@@ -134,7 +134,7 @@
     const std::vector<host_status> everybody = hosts(40, 4);
     int sponsors = 0;
     for (const host_status& each : everybody) {
-        cold_endpoints cold = knowing(each.name, {engine("e", 3000)});
+        cold_endpoints cold = make_cold_endpoints(each.name, {engine("e", 3000)});
         cold.set_hosts({everybody, true}, start);
         if (cold.may_send("e", start + seconds(1))) {
             EXPECT_EQ(each.domain, "hall0");
@@ -145,7 +145,7 @@
 }
 
 TEST(cold_endpoints, an_entry_that_counts_down_is_believed) {
-    cold_endpoints cold = knowing("h", {engine("e", 2000)});
+    cold_endpoints cold = make_cold_endpoints("h", {engine("e", 2000)});
     EXPECT_TRUE(cold.is_cold("e", start + milliseconds(1900)));
     cold.update({engine("e", 2000)}, start + milliseconds(1900)); // The same entry, read again.
     EXPECT_FALSE(cold.is_cold("e", start + milliseconds(2100)));
@@ -158,21 +158,21 @@
 // An engine crashes and is back after two seconds, before its entry lapses. The entry still says that it is
 // warm, and it looks idle: until the new one is read, everybody sends there.
 TEST(cold_endpoints, one_that_refused_a_connection_is_cold_until_the_store_can_know) {
-    cold_endpoints cold = knowing("h", {engine("e", 0)});
+    cold_endpoints cold = make_cold_endpoints("h", {engine("e", 0)});
     EXPECT_FALSE(cold.is_cold("e", start));
     EXPECT_TRUE(cold.on_refused("e", milliseconds(0), start));
     EXPECT_FALSE(cold.on_refused("e", milliseconds(0), start + milliseconds(100))); // Told already.
     EXPECT_TRUE(cold.is_cold("e", start + seconds(3)));
-    EXPECT_FALSE(cold.is_cold("e", start + milliseconds(100) + suspicion_time));
+    EXPECT_FALSE(cold.is_cold("e", start + milliseconds(100) + refused_cold_time));
     EXPECT_FALSE(cold.on_refused("unknown", milliseconds(0), start));
 }
 
 TEST(cold_endpoints, what_others_tell_counts_from_when_it_was_seen) {
-    cold_endpoints cold = knowing("h", {engine("e", 0)});
+    cold_endpoints cold = make_cold_endpoints("h", {engine("e", 0)});
     EXPECT_TRUE(cold.on_refused("e", seconds(2), start));
     EXPECT_EQ(cold.refused(start).at("e"), seconds(2));
-    EXPECT_FALSE(cold.is_cold("e", start + suspicion_time - seconds(2)));
-    EXPECT_FALSE(cold.on_refused("e", suspicion_time, start));
+    EXPECT_FALSE(cold.is_cold("e", start + refused_cold_time - seconds(2)));
+    EXPECT_FALSE(cold.on_refused("e", refused_cold_time, start));
 }
 
 TEST(cold_endpoints, services_without_cold_starts_are_left_alone) {
@@ -225,7 +225,7 @@
     fixture.directory.allowance().set_evacuated({}, start + seconds(6));
     EXPECT_TRUE(fixture.directory.allowance().cold().is_cold("e", start + seconds(8)));
     EXPECT_FALSE(fixture.choose(start + seconds(6)));
-    EXPECT_EQ(fixture.directory.allowance().room_in("pool", start + seconds(7)), seconds(2));
+    EXPECT_EQ(fixture.directory.allowance().time_until_available("pool", start + seconds(7)), seconds(2));
     EXPECT_TRUE(fixture.choose(start + seconds(9)));
 }
 
--- a/test/placement_test.cpp
+++ b/test/placement_test.cpp
@@ -6,8 +6,8 @@
 namespace laurelhoist {
 namespace {
 
-const model_demand large{"large", {0.03, 1}};
-const model_demand small{"small", {0.003, 1}};
+const target_model large{"large", {0.03, 1}};
+const target_model small{"small", {0.003, 1}};
 
 chart endpoint_life() {
     return load_chart_or_exit(LAUREL_SOURCE_DIR "/charts", "endpoint");
@@ -38,7 +38,7 @@
         directory.update(engines(6), now);
         directory.set_slots("pool", 32, 1);
     }
-    placement send(const prompt_shape& shape, const model_demand& model = large) {
+    placement send(const prompt_shape& shape, const target_model& model = large) {
         const auto chosen = directory.choose(wish_for("pool"), shape, model, now);
         EXPECT_TRUE(chosen);
         directory.on_sent(*chosen, shape, wish_for("pool"), now);
@@ -182,16 +182,16 @@
         }
     }
     fixture.directory.set_peer_load("other", busy, fixture.now);
-    fixture.directory.change_peer_load("other", {{"e3", {4000, 0}}}, fixture.now);
+    fixture.directory.update_peer_load("other", {{"e3", {4000, 0}}}, fixture.now);
     EXPECT_EQ(
         fixture.directory.choose(wish_for("pool"), prompt(1, 2, 8000), large, fixture.now)->endpoint.name,
         "e4");
-    fixture.directory.change_peer_load("other", {{"e4", {9000, 0}}, {"e3", {0, 0}}}, fixture.now);
+    fixture.directory.update_peer_load("other", {{"e4", {9000, 0}}, {"e3", {0, 0}}}, fixture.now);
     EXPECT_EQ(
         fixture.directory.choose(wish_for("pool"), prompt(1, 2, 8000), large, fixture.now)->endpoint.name,
         "e3");
     const time_point later = fixture.now + seconds(3);
-    fixture.directory.change_peer_load("other", {{"e3", {9000, 0}}}, later);
+    fixture.directory.update_peer_load("other", {{"e3", {9000, 0}}}, later);
     EXPECT_NE(fixture.directory.choose(wish_for("pool"), prompt(1, 2, 8000), large, later)->endpoint.name,
               "e3")
         << "what was said three seconds ago counts no more";
--- a/test/rate_limits_test.cpp
+++ b/test/rate_limits_test.cpp
@@ -17,44 +17,44 @@
 }
 
 /** A statement of an answer that took 100 ms from request to head, which came \p at after the start. */
-limit_statement said(std::optional<double> limit, duration at) {
+limit_statement answer_with(std::optional<double> limit, duration at) {
     return {limit, start + at - milliseconds(100), start + at};
 }
 
-rate_limits knowing(const std::string& host) {
+rate_limits make_rate_limits(const std::string& host) {
     rate_limits made(host);
     made.update({engine("e")}, start);
     return made;
 }
 
-bool hear(rate_limits& limits, const limit_statement& statement) {
+bool on_answer(rate_limits& limits, const limit_statement& statement) {
     return limits.note(engine("e"), statement, statement.heard_at);
 }
 
 // Guards against a limit that is lifted by an answer which was made before it was named.
 TEST(rate_limits, an_overtaken_answer_lifts_nothing) {
-    rate_limits limits = knowing("host0");
-    EXPECT_TRUE(hear(limits, said(2.0, milliseconds(1000))));
-    EXPECT_FALSE(hear(limits, said(std::nullopt, milliseconds(1050))));
-    EXPECT_FALSE(hear(limits, said(5.0, milliseconds(1050))));
+    rate_limits limits = make_rate_limits("host0");
+    EXPECT_TRUE(on_answer(limits, answer_with(2.0, milliseconds(1000))));
+    EXPECT_FALSE(on_answer(limits, answer_with(std::nullopt, milliseconds(1050))));
+    EXPECT_FALSE(on_answer(limits, answer_with(5.0, milliseconds(1050))));
     EXPECT_EQ(limits.limit_of("e"), 2.0);
-    EXPECT_TRUE(hear(limits, said(std::nullopt, milliseconds(1200))));
+    EXPECT_TRUE(on_answer(limits, answer_with(std::nullopt, milliseconds(1200))));
     EXPECT_EQ(limits.limit_of("e"), std::nullopt);
 }
 
 // Guards against a stricter limit that is taken for old news.
 TEST(rate_limits, a_stricter_limit_holds_at_once) {
-    rate_limits limits = knowing("host0");
-    hear(limits, said(5.0, milliseconds(1000)));
-    EXPECT_TRUE(hear(limits, said(2.0, milliseconds(980))));
+    rate_limits limits = make_rate_limits("host0");
+    on_answer(limits, answer_with(5.0, milliseconds(1000)));
+    EXPECT_TRUE(on_answer(limits, answer_with(2.0, milliseconds(980))));
     EXPECT_EQ(limits.limit_of("e"), 2.0);
-    EXPECT_FALSE(hear(limits, said(1.0, milliseconds(500)))) << "that was before both";
+    EXPECT_FALSE(on_answer(limits, answer_with(1.0, milliseconds(500)))) << "that was before both";
 }
 
 // Guards against a new process that is held to the limit of the one before.
 TEST(rate_limits, a_restart_clears_the_limit) {
-    rate_limits limits = knowing("host0");
-    hear(limits, said(2.0, milliseconds(1000)));
+    rate_limits limits = make_rate_limits("host0");
+    on_answer(limits, answer_with(2.0, milliseconds(1000)));
     limits.update({engine("e")}, start);
     EXPECT_EQ(limits.limit_of("e"), 2.0);
     limits.update({engine("e", 9000)}, start);
@@ -63,12 +63,12 @@
 
 // Guards against a host that hears of an older state after a newer one and believes it.
 TEST(rate_limits, a_lifted_limit_does_not_come_back_with_late_news) {
-    rate_limits told = knowing("host0");
-    hear(told, said(2.0, milliseconds(1000)));
-    const std::vector<limit_notice> limited = told.take_untold(start + milliseconds(1010));
-    hear(told, said(std::nullopt, milliseconds(1500)));
-    const std::vector<limit_notice> lifted = told.take_untold(start + milliseconds(1510));
-    rate_limits other = knowing("host1");
+    rate_limits told = make_rate_limits("host0");
+    on_answer(told, answer_with(2.0, milliseconds(1000)));
+    const std::vector<limit_notice> limited = told.take_pending(start + milliseconds(1010));
+    on_answer(told, answer_with(std::nullopt, milliseconds(1500)));
+    const std::vector<limit_notice> lifted = told.take_pending(start + milliseconds(1510));
+    rate_limits other = make_rate_limits("host1");
     EXPECT_EQ(other.merge(limited, start + milliseconds(1010)), std::vector<std::string>{"e"});
     EXPECT_EQ(other.merge(lifted, start + milliseconds(1510)), std::vector<std::string>{"e"});
     EXPECT_TRUE(other.merge({{limited[0].process, 2.0, 620, 520}}, start + milliseconds(1520)).empty());
@@ -77,11 +77,11 @@
 
 // Guards against a request that is sent although the limit came while its connection was made.
 TEST(rate_limits, what_was_chosen_before_a_limit_is_known_by_its_time) {
-    rate_limits limits = knowing("host0");
-    hear(limits, said(2.0, milliseconds(1000)));
+    rate_limits limits = make_rate_limits("host0");
+    on_answer(limits, answer_with(2.0, milliseconds(1000)));
     EXPECT_TRUE(limits.has_tightened_since("e", start + milliseconds(990)));
     EXPECT_FALSE(limits.has_tightened_since("e", start + milliseconds(1010)));
-    hear(limits, said(std::nullopt, milliseconds(1200)));
+    on_answer(limits, answer_with(std::nullopt, milliseconds(1200)));
     EXPECT_FALSE(limits.has_tightened_since("e", start + milliseconds(1100)));
 }
 
@@ -95,7 +95,7 @@
 
 // Guards against values that no endpoint means: the time to the next request must stay a time.
 RC_GTEST_PROP(rate_limits, any_limit_leaves_room_now_and_then, (double limit, std::int64_t age)) {
-    rate_limits limits = knowing("host0");
+    rate_limits limits = make_rate_limits("host0");
     host_status alone;
     alone.name = "host0";
     alone.state = "serving";
@@ -106,7 +106,7 @@
 
 // Guards against a part of the limit that stays as it was when more hosts come to use the endpoint.
 TEST(rate_limits, a_known_number_of_sharers_take_even_parts) {
-    rate_limits limits = knowing("host0");
+    rate_limits limits = make_rate_limits("host0");
     const auto sent_in_20_s = [&limits](time_point since) {
         int sent = 0;
         for (time_point now = since; now < since + seconds(20); now += milliseconds(50)) {
@@ -119,7 +119,7 @@
     };
     limits.set_sharers("pool", 1);
     limits.set_hosts({{}, true}, start);
-    hear(limits, said(4.0, milliseconds(0)));
+    on_answer(limits, answer_with(4.0, milliseconds(0)));
     EXPECT_NEAR(sent_in_20_s(start), 80, 4);
     limits.set_sharers("pool", 4);
     limits.set_hosts({{}, true}, start + seconds(20));
@@ -138,7 +138,7 @@
             statuses_.push_back(status);
         }
         for (const host_status& status : statuses_) {
-            hosts_.push_back(member{knowing(status.name), statuses_, {}, {}, true});
+            hosts_.push_back(member{make_rate_limits(status.name), statuses_, {}, {}, true});
         }
     }
 
@@ -163,7 +163,7 @@
     }
     /** Host \p number starts anew and knows nothing. */
     void restart(std::size_t number) {
-        hosts_[number] = member{knowing(statuses_[number].name), statuses_, {}, {}, true};
+        hosts_[number] = member{make_rate_limits(statuses_[number].name), statuses_, {}, {}, true};
         hosts_[number].started_at = now_;
     }
 
@@ -208,7 +208,7 @@
             }
             host.told_at = host.told_at.value_or(now_);
             if (host.limits.note(engine("e"), {limit_, given.sent_at, now_}, now_)) {
-                const std::vector<limit_notice> news = host.limits.take_untold(now_);
+                const std::vector<limit_notice> news = host.limits.take_pending(now_);
                 for (std::size_t other = 0; other < hosts_.size(); ++other) {
                     tell(other, news);
                 }
@@ -236,12 +236,12 @@
                                    [&](const auto& each) { return each.name == host.forgets.host; }),
                     host.view.end());
             }
-            const bool knows_others = host.started_at == time_point{} || now_ - host.started_at > seconds(3);
-            host.limits.set_hosts({host.view, knows_others}, now_);
+            const bool has_full_view = host.started_at == time_point{} || now_ - host.started_at > seconds(3);
+            host.limits.set_hosts({host.view, has_full_view}, now_);
         }
         if ((ticks_ + number) % ticks_of_round == 0) {
             for (int i = 0; i < 3; ++i) {
-                tell(random_.below(hosts_.size()), host.limits.next_known(8, now_));
+                tell(random_.below(hosts_.size()), host.limits.next_to_gossip(8, now_));
             }
         }
         if (host.limits.may_send_within("e", duration::zero(), now_)) {
--- a/test/recovery_test.cpp
+++ b/test/recovery_test.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 const time_point start{seconds(1000)};
-constexpr request_digest deadly = 77;
+constexpr request_digest crashing = 77;
 
 time_point at_ms(std::int64_t ms) {
     return start + milliseconds(ms);
@@ -26,7 +26,7 @@
 void end_three(crash_quarantine& quarantine) {
     for (std::uint32_t i = 0; i < 3; ++i) {
         const std::int64_t sent_ms = std::int64_t{100} * i;
-        quarantine.on_end(deadly, end_of(i, sent_ms, sent_ms + 100), at_ms(sent_ms + 100));
+        quarantine.on_end(crashing, end_of(i, sent_ms, sent_ms + 100), at_ms(sent_ms + 100));
     }
 }
 
@@ -54,25 +54,25 @@
 
 TEST(crash_quarantine, three_ends_in_a_row_are_enough) {
     crash_quarantine quarantine("h1");
-    quarantine.on_end(deadly, end_of(1, 0, 100), at_ms(100));
-    quarantine.on_end(deadly, end_of(2, 100, 200), at_ms(200));
-    EXPECT_TRUE(quarantine.may_send(deadly, at_ms(200)));
-    quarantine.on_end(deadly, end_of(2, 100, 200), at_ms(210)); // Told twice.
-    EXPECT_TRUE(quarantine.may_send(deadly, at_ms(210)));
-    quarantine.on_end(deadly, end_of(3, 200, 300), at_ms(300));
-    EXPECT_FALSE(quarantine.may_send(deadly, at_ms(300)));
-    EXPECT_TRUE(quarantine.may_send(deadly + 1, at_ms(300))) << "nobody else's request";
+    quarantine.on_end(crashing, end_of(1, 0, 100), at_ms(100));
+    quarantine.on_end(crashing, end_of(2, 100, 200), at_ms(200));
+    EXPECT_TRUE(quarantine.may_send(crashing, at_ms(200)));
+    quarantine.on_end(crashing, end_of(2, 100, 200), at_ms(210)); // Told twice.
+    EXPECT_TRUE(quarantine.may_send(crashing, at_ms(210)));
+    quarantine.on_end(crashing, end_of(3, 200, 300), at_ms(300));
+    EXPECT_FALSE(quarantine.may_send(crashing, at_ms(300)));
+    EXPECT_TRUE(quarantine.may_send(crashing + 1, at_ms(300))) << "nobody else's request";
 }
 
 // An engine starts again under its name within a second, and the store shows its new start later than a
 // request ends it once more. Seen by two hosts, one end still counts once.
 TEST(crash_quarantine, an_endpoint_that_is_back_under_its_name_ends_again) {
     crash_quarantine quarantine("h1");
-    quarantine.on_end(deadly, end_of(1, 0, 100), at_ms(100));
-    quarantine.on_end(deadly, end_of(1, 0, 120), at_ms(120));
-    EXPECT_EQ(quarantine.ends_of(deadly), 1);
-    quarantine.on_end(deadly, end_of(1, 1000, 1100), at_ms(1100));
-    EXPECT_EQ(quarantine.ends_of(deadly), 2);
+    quarantine.on_end(crashing, end_of(1, 0, 100), at_ms(100));
+    quarantine.on_end(crashing, end_of(1, 0, 120), at_ms(120));
+    EXPECT_EQ(quarantine.ends_of(crashing), 1);
+    quarantine.on_end(crashing, end_of(1, 1000, 1100), at_ms(1100));
+    EXPECT_EQ(quarantine.ends_of(crashing), 2);
 }
 
 // A failure domain loses power with five endpoints at which copies of a common question are under way.
@@ -80,21 +80,21 @@
 TEST(crash_quarantine, endpoints_that_end_at_once_count_once) {
     crash_quarantine quarantine("h1");
     for (std::uint32_t i = 0; i < 5; ++i) {
-        quarantine.on_end(deadly, end_of(i, std::int64_t{10} * i, 100), at_ms(100));
+        quarantine.on_end(crashing, end_of(i, std::int64_t{10} * i, 100), at_ms(100));
     }
-    EXPECT_EQ(quarantine.ends_of(deadly), 1);
-    EXPECT_TRUE(quarantine.may_send(deadly, at_ms(100)));
+    EXPECT_EQ(quarantine.ends_of(crashing), 1);
+    EXPECT_TRUE(quarantine.may_send(crashing, at_ms(100)));
 }
 
 TEST(crash_quarantine, an_answer_clears_a_request_and_old_news_do_not_bring_it_back) {
     crash_quarantine quarantine("h1");
     end_three(quarantine);
     const std::vector<crash_notice> old = quarantine.known(8, at_ms(400));
-    quarantine.clear(deadly, at_ms(500));
-    EXPECT_TRUE(quarantine.may_send(deadly, at_ms(500)));
+    quarantine.clear(crashing, at_ms(500));
+    EXPECT_TRUE(quarantine.may_send(crashing, at_ms(500)));
     quarantine.merge(old, at_ms(400));
-    EXPECT_TRUE(quarantine.may_send(deadly, at_ms(600)));
-    EXPECT_EQ(quarantine.take_untold(at_ms(600)).for_all.size(), 1U) << "the others hear of it";
+    EXPECT_TRUE(quarantine.may_send(crashing, at_ms(600)));
+    EXPECT_EQ(quarantine.take_pending(at_ms(600)).for_all.size(), 1U) << "the others hear of it";
 }
 
 // A failure domain of a thousand endpoints is lost; the thousands of requests that broke there are answered
@@ -102,12 +102,12 @@
 // of the innocent.
 TEST(crash_quarantine, who_is_cleared_after_a_first_end_is_no_news_for_all) {
     crash_quarantine quarantine("h1");
-    quarantine.on_end(deadly, end_of(1, 0, 100), at_ms(100));
-    quarantine.take_untold(at_ms(100));
-    quarantine.clear(deadly, at_ms(300));
-    const crash_quarantine::untold untold = quarantine.take_untold(at_ms(300));
-    EXPECT_TRUE(untold.for_all.empty());
-    EXPECT_EQ(untold.for_keepers.size(), 1U);
+    quarantine.on_end(crashing, end_of(1, 0, 100), at_ms(100));
+    quarantine.take_pending(at_ms(100));
+    quarantine.clear(crashing, at_ms(300));
+    const crash_quarantine::pending_notices pending_notices = quarantine.take_pending(at_ms(300));
+    EXPECT_TRUE(pending_notices.for_all.empty());
+    EXPECT_EQ(pending_notices.for_trackers.size(), 1U);
     EXPECT_TRUE(quarantine.known(8, at_ms(300)).empty());
 }
 
@@ -123,18 +123,18 @@
     }
     const auto senders = [&](std::int64_t ms) {
         return std::count_if(all.begin(), all.end(),
-                             [&](const crash_quarantine& each) { return each.may_send(deadly, at_ms(ms)); });
+                             [&](const crash_quarantine& each) { return each.may_send(crashing, at_ms(ms)); });
     };
     EXPECT_EQ(senders(20'200), 0);
     EXPECT_EQ(senders(20'400), 1);
     for (crash_quarantine& each : all) {
-        if (each.may_send(deadly, at_ms(20'400))) {
-            EXPECT_TRUE(each.on_sent(deadly, at_ms(20'400)));
+        if (each.may_send(crashing, at_ms(20'400))) {
+            EXPECT_TRUE(each.on_sent(crashing, at_ms(20'400)));
         }
     }
     EXPECT_EQ(senders(20'401), 0) << "one trial at a time";
     for (crash_quarantine& each : all) {
-        each.on_end(deadly, end_of(9, 20'400, 20'500), at_ms(20'500));
+        each.on_end(crashing, end_of(9, 20'400, 20'500), at_ms(20'500));
     }
     EXPECT_EQ(senders(60'000), 0);
     EXPECT_EQ(senders(100'600), 1);
@@ -144,7 +144,7 @@
     crash_quarantine quarantine("h1");
     quarantine.set_hosts({"h1"}, false);
     end_three(quarantine);
-    EXPECT_FALSE(quarantine.may_send(deadly, at_ms(30'000)));
+    EXPECT_FALSE(quarantine.may_send(crashing, at_ms(30'000)));
 }
 
 // A caller sends a new body each time, so that thousands of first ends come together.
@@ -154,18 +154,18 @@
     for (std::uint32_t i = 0; i < 5000; ++i) {
         quarantine.on_end(1000 + i, end_of(100 + i, 400, 500 + i), at_ms(500 + i));
     }
-    EXPECT_FALSE(quarantine.may_send(deadly, at_ms(6000)));
+    EXPECT_FALSE(quarantine.may_send(crashing, at_ms(6000)));
     constexpr std::size_t most = 512;
-    EXPECT_LE(quarantine.take_untold(at_ms(6000)).for_keepers.size(), most);
+    EXPECT_LE(quarantine.take_pending(at_ms(6000)).for_trackers.size(), most);
 }
 
 TEST(crash_quarantine, all_of_it_is_forgotten_in_time) {
     crash_quarantine quarantine("h1");
     end_three(quarantine);
-    quarantine.on_end(deadly + 1, end_of(8, 0, 100), at_ms(100));
+    quarantine.on_end(crashing + 1, end_of(8, 0, 100), at_ms(100));
     quarantine.forget_old(at_ms(130'000));
-    EXPECT_EQ(quarantine.ends_of(deadly + 1), 0);
-    EXPECT_EQ(quarantine.ends_of(deadly), 3);
+    EXPECT_EQ(quarantine.ends_of(crashing + 1), 0);
+    EXPECT_EQ(quarantine.ends_of(crashing), 3);
     quarantine.forget_old(at_ms(700'000));
     EXPECT_TRUE(quarantine.is_empty());
 }
@@ -174,28 +174,28 @@
 RC_GTEST_PROP(crash_quarantine, news_in_any_order_give_the_same, (const std::vector<std::uint8_t>& order)) {
     std::vector<std::vector<crash_notice>> news;
     for (std::uint32_t i = 0; i < 4; ++i) {
-        crash_quarantine seer("s" + std::to_string(i));
+        crash_quarantine observer("s" + std::to_string(i));
         const std::int64_t sent_ms = std::int64_t{100} * i;
-        seer.on_end(deadly, end_of(i, sent_ms, sent_ms + 90), at_ms(sent_ms + 90));
-        const auto untold = seer.take_untold(at_ms(500));
-        news.push_back(untold.for_keepers);
+        observer.on_end(crashing, end_of(i, sent_ms, sent_ms + 90), at_ms(sent_ms + 90));
+        const auto pending_notices = observer.take_pending(at_ms(500));
+        news.push_back(pending_notices.for_trackers);
     }
-    crash_quarantine hearer("h1");
+    crash_quarantine receiver("h1");
     for (const std::uint8_t which : order) {
-        hearer.merge(news[which % news.size()], at_ms(500));
+        receiver.merge(news[which % news.size()], at_ms(500));
     }
     for (const auto& each : news) {
-        hearer.merge(each, at_ms(500));
+        receiver.merge(each, at_ms(500));
     }
-    RC_ASSERT(hearer.ends_of(deadly) == 4);
-    RC_ASSERT(!hearer.may_send(deadly, at_ms(600)));
+    RC_ASSERT(receiver.ends_of(crashing) == 4);
+    RC_ASSERT(!receiver.may_send(crashing, at_ms(600)));
 }
 
 /** Hosts that tell one another of ends by messages that take time and may be lost, and one caller whose
  * request ends every endpoint that begins to run it. Time in ms. */
-class deadly_fleet {
+class crashing_fleet {
 public:
-    deadly_fleet(std::size_t hosts, unsigned seed, bool is_guarded) : random_{seed}, is_guarded_{is_guarded} {
+    crashing_fleet(std::size_t hosts, unsigned seed, bool has_quarantine) : random_{seed}, has_quarantine_{has_quarantine} {
         for (std::size_t i = 0; i < hosts; ++i) {
             names_.push_back("h" + std::to_string(i));
         }
@@ -249,17 +249,17 @@
 
     void ask(std::size_t host, int attempt) {
         constexpr int attempts = 3;
-        if (attempt >= attempts || (is_guarded_ && !hosts_[host].may_send(deadly, at_ms(now_)))) {
+        if (attempt >= attempts || (has_quarantine_ && !hosts_[host].may_send(crashing, at_ms(now_)))) {
             return;
         }
-        hosts_[host].on_sent(deadly, at_ms(now_));
+        hosts_[host].on_sent(crashing, at_ms(now_));
         sent_.emplace_back(now_, now_ - started_[host] > in_touch_ms);
         const std::int64_t sent_at = now_;
         after(now_ + 20 + static_cast<std::int64_t>(below(400)), [this, host, attempt, sent_at] {
             ends_.push_back(now_);
             const endpoint_end end{++processes_, at_ms(sent_at), at_ms(now_)};
             after(now_ + 5, [this, host, end] {
-                hosts_[host].on_end(deadly, end, at_ms(now_));
+                hosts_[host].on_end(crashing, end, at_ms(now_));
                 tell(host);
             });
             ask(host, attempt + 1);
@@ -278,16 +278,16 @@
     }
 
     void tell(std::size_t from) {
-        const auto untold = hosts_[from].take_untold(at_ms(now_));
-        std::vector<std::string> keepers = names_;
+        const auto pending_notices = hosts_[from].take_pending(at_ms(now_));
+        std::vector<std::string> trackers = names_;
         if (names_.size() > small_fleet) {
-            keepers = keepers_of(deadly, names_);
+            trackers = trackers_of(crashing, names_);
         }
         for (std::size_t to = 0; to < hosts_.size(); ++to) {
             if (to != from) {
-                send(to, untold.for_all);
-                if (std::find(keepers.begin(), keepers.end(), names_[to]) != keepers.end()) {
-                    send(to, untold.for_keepers);
+                send(to, pending_notices.for_all);
+                if (std::find(trackers.begin(), trackers.end(), names_[to]) != trackers.end()) {
+                    send(to, pending_notices.for_trackers);
                 }
             }
         }
@@ -307,7 +307,7 @@
     }
 
     std::mt19937 random_;
-    bool is_guarded_;
+    bool has_quarantine_;
     std::vector<std::string> names_;
     std::vector<crash_quarantine> hosts_;
     std::vector<std::int64_t> started_;
@@ -328,7 +328,7 @@
     constexpr std::int64_t length_ms = 100'000;
     constexpr std::int64_t grace_ms = 3000;
     constexpr int allowed = 3;
-    deadly_fleet fleet(hosts, seed, true);
+    crashing_fleet fleet(hosts, seed, true);
     const int late = fleet.sent_too_late(length_ms, grace_ms);
     RC_LOG() << "hosts " << hosts << ", sent too late " << late;
     RC_ASSERT(late <= allowed);
@@ -336,14 +336,14 @@
 
 TEST(crash_quarantine, without_the_guard_a_deadly_request_is_sent_hundreds_of_times) {
     quiet_log();
-    deadly_fleet fleet(7, 1, false);
+    crashing_fleet fleet(7, 1, false);
     EXPECT_GT(fleet.sent_too_late(100'000, 3000), 100);
 }
 
 /** Engines that end now and then for reasons of their own, and innocent requests: unique drafts, and common
  * questions that thousands ask. Counts the requests that are quarantined although no endpoint ended by them.
  */
-int innocents_quarantined(unsigned seed, bool counts_all_under_way) {
+int count_false_quarantines(unsigned seed, bool counts_all_running) {
     struct running {
         request_digest digest;
         std::int64_t sent_at;
@@ -394,7 +394,7 @@
         at[ending].clear();
         ++processes;
         for (const running& each : hit) {
-            if (counts_all_under_way || each.first_event_at > now) {
+            if (counts_all_running || each.first_event_at > now) {
                 quarantine.on_end(each.digest, {processes, at_ms(each.sent_at), at_ms(now)}, at_ms(now));
             }
             if (quarantine.ends_of(each.digest) >= ends_to_quarantine) {
@@ -417,8 +417,8 @@
     int kept = 0;
     int all_under_way = 0;
     for (unsigned seed = 1; seed <= days; ++seed) {
-        kept += innocents_quarantined(seed, false);
-        all_under_way += innocents_quarantined(seed, true);
+        kept += count_false_quarantines(seed, false);
+        all_under_way += count_false_quarantines(seed, true);
     }
     EXPECT_EQ(kept, 0);
     EXPECT_GT(all_under_way, 0) << "the other way: every attempt under way counts";
