--- a/src/placement/back_offs.h
+++ b/src/placement/back_offs.h
@@ -1,11 +1,11 @@
 /** \file
- * Defines which endpoints have asked this host to send nothing for a time.
+ * Tracks the backoff periods that endpoints have requested from this host.
  *
- * An endpoint that turns a request away may say for how long it wants nothing more from the host that sent
- * it. That is between the two: others may go on, and are not told.
+ * An endpoint that rejects a request may state for how long it wants no further requests from the host that
+ * sent it. The period binds that host only: other hosts may go on sending and are not told.
  *
- * Load pattern: five of 18 engines turn away all that comes and ask for three seconds. Each refuses at once
- * and so looks idle, and requests go there three times over before its failures take it out.
+ * Load pattern: five of 18 engines reject every request and ask for three seconds. Each rejects at once and
+ * therefore looks idle, so without backoff it gets three requests before its failures eject it.
  */
 #pragma once
 
@@ -17,22 +17,23 @@
 
 namespace laurelhoist {
 
-/** The endpoints that this host leaves alone for a time. No I/O; the time is an argument. */
+/** The endpoints to which this host sends nothing for a time. No I/O; the time is an argument. */
 class back_offs {
 public:
-    /** Takes the endpoints as the store lists them; a new process under a known name has asked for nothing.
-     * One that is missing may be back before its back_off_period is over. */
+    /** Takes the endpoints as the store lists them and drops the backoff periods that are over or that an
+     * earlier process under the same name requested. The period of an endpoint that is not listed is kept:
+     * it may be listed again before the period ends. */
     void update(const std::vector<endpoint_record>& endpoints, time_point now);
-    /** \p endpoint wants nothing for \p back_off_period from \p now on. A later request extends an earlier one and never
-     * shortens it; nothing that comes meanwhile lifts it. */
+    /** Records that \p endpoint wants no requests for \p back_off from \p now on. A later call can extend the
+     * period and never shortens it; no later answer of the same process lifts it. */
     void note(const endpoint_record& endpoint, duration back_off, time_point now);
 
     /** \return whether requests may go to \p endpoint within \p max_wait. */
     bool may_send_within(const std::string& endpoint, duration max_wait, time_point now) const;
-    /** \return whether \p endpoint has asked for back_off_period after \p chosen_at. */
+    /** \return whether \p endpoint asked for a backoff at or after \p chosen_at. */
     bool has_begun_since(const std::string& endpoint, time_point chosen_at) const;
-    /** \return after what time the first endpoint of \p service that rests now may get a request, or nothing
-     * if none rests */
+    /** \return the time until the first backoff period among the endpoints of \p service ends, or nothing if
+     * none is in force */
     std::optional<duration> time_until_available(const std::string& service, time_point now) const;
 
 private:
@@ -43,7 +44,7 @@
     };
     const back_off_period* find(const std::string& endpoint) const;
 
-    std::map<std::string, back_off_period> periods_; ///< by endpoint
+    std::map<std::string, back_off_period> periods_; ///< by endpoint name
 };
 
 } // namespace laurelhoist
--- a/src/placement/endpoint_directory.h
+++ b/src/placement/endpoint_directory.h
@@ -1,15 +1,17 @@
 /** \file
- * Defines which endpoint a request goes to.
+ * Chooses the endpoint for a request.
  *
- * Plain services: the endpoint with the fewest requests in flight. Engines: the endpoint that is predicted to
- * give the first token soonest, from the time that prompts there still take to read, the streams that run
- * there, and the part of the prompt that it has read before. Load pattern: prompts of 6,000 to 50,000 tokens
- * arrive among chats of 800; counted by requests, two endpoints look alike where one is a second behind.
+ * A request of a plain service goes to the endpoint with the fewest requests in flight, with a preference for
+ * this host's failure domain. A request of an engine goes to the endpoint with the lowest predicted time to
+ * the first token, computed from the time that the prompts waiting there take to read (prefill), the number of
+ * running streams, and the parts of the prompt in the engine's cache. Load pattern: prompts of 6,000 to 50,000
+ * tokens arrive among chats of 800; by the number of requests, two endpoints look equally loaded while one is
+ * a second behind.
  *
- * The shared part of a prompt has a home for each model, the same on every host by rendezvous hashing, so
- * that it is read once and not once for each host; a busy home is passed over once its backlog costs more
- * than reading the part again. Engines keep what each model has read apart: what the small one has read saves
- * the large one nothing.
+ * The shared part of a prompt has a home endpoint for each model, the same on every host by rendezvous
+ * hashing, so that it is read once and not once for each host. Another endpoint is chosen once the backlog of
+ * the home costs more than reading the part again. Engines cache prompts per model: a part that the small
+ * model has read has to be read again for the large one.
  */
 #pragma once
 
@@ -22,78 +24,82 @@
 
 namespace laurelhoist {
 
-/** The prompt of a request, for placement. */
+/** The size and the parts of a request's prompt, for placement. */
 struct prompt_shape {
     std::int64_t input_tokens = 0;
-    std::vector<std::uint64_t> parts; ///< hashes of its parts, in order
-    std::vector<std::int64_t> tokens; ///< of the parts
+    std::vector<std::uint64_t> parts; ///< hashes of the prompt's parts, in order
+    std::vector<std::int64_t> tokens; ///< number of tokens of each part
     bool is_empty() const { return input_tokens == 0; }
 };
 
-/** The model that is meant to answer a request. */
+/** The model that is to answer a request. */
 struct target_model {
-    std::string name; ///< empty: of a plain service
+    std::string name; ///< empty for a plain service
     first_event_costs costs;
 };
 
 /** Work in flight at one endpoint. */
 struct endpoint_load {
-    /// That prompts without a first token take to read, each by its own model. Counted in tokens, what waits
-    /// for a large model would look ten times smaller to a request for a small one.
+    /// Time that the prompts without a first token take to read, each by its own model. If it were counted in
+    /// tokens, prompts for a large model would look ten times smaller to a request for a small one.
     double reading_ms = 0;
-    int running = 0; ///< requests whose answer has begun, or of a plain service: in flight
+    int running = 0; ///< requests whose answer has begun; for a plain service, requests in flight
 };
 
-/** Load by endpoint name, as hosts tell one another. */
+/** Load by endpoint name, as hosts exchange it. */
 using load_by_endpoint = std::map<std::string, endpoint_load>;
 
-/** A chosen endpoint and what the choice rests on. */
+/** A chosen endpoint and the estimates behind the choice. */
 struct placement {
     endpoint_record endpoint;
     std::string model;              ///< \see target_model::name
-    std::int64_t unread_tokens = 0; ///< that the endpoint has to read for this request
-    double reading_ms = 0;          ///< that it takes to read them
-    double backlog_ms = 0;          ///< that the prompts of others there still take to read
-    double predicted_ms = 0;        ///< to the first token, or of a plain service 0
+    std::int64_t unread_tokens = 0; ///< prompt tokens that the endpoint has to read for this request
+    double reading_ms = 0;          ///< time that it takes to read them
+    double backlog_ms = 0;          ///< time that the prompts of other requests there still take to read
+    double predicted_ms = 0;        ///< time to the first token; for a plain service, only a measure of load
 };
 
 class endpoint_directory {
 public:
-    /** \param life charts/endpoint.scxml \param domain the failure domain of this host
-     * \param allowance of this host */
+    /** \param life charts/endpoint.scxml
+     * \param domain failure domain of this host
+     * \param in_use mechanisms that are switched on
+     * \param allowance decides to which endpoints this host may send */
     endpoint_directory(chart life, std::uint64_t seed, std::string domain, const mechanisms& in_use = {},
                        send_allowance allowance = {"", {"", {}}});
 
     void update(const std::vector<endpoint_record>& endpoints, time_point now);
-    /** \return those of \p endpoints whose process is another than the one known here. */
+    /** \return those of \p endpoints whose process is a later one than the one known here. */
     std::vector<endpoint_record> restarted_among(const std::vector<endpoint_record>& endpoints) const;
-    /** Sets how many requests one endpoint of \p service runs, and how many hosts share it. */
+    /** Sets how many requests one endpoint of \p service runs at once, and how many hosts share it. */
     void set_slots(const std::string& service, int slots, std::size_t sharers);
-    /** Sets whether another failure domain's endpoints are used only when this one's are busy: on a large
-     * fleet hosts know the load of those in their own domain alone. */
+    /** Sets whether endpoints of other failure domains are used only when those of this domain are busy. To be
+     * set on a large fleet, where hosts know the load of the endpoints in their own domain only. */
     void prefer_own_domain(bool is_preferred) { prefers_own_domain_ = is_preferred; }
-    /** Takes what \p host has in flight; it counts for \ref peer_load_ttl. */
+    /** Sets the load that \p host has in flight. It counts until nothing is heard of it for 2 s. */
     void set_peer_load(const std::string& host, load_by_endpoint load, time_point now);
-    /** Takes what has changed of it: the endpoints in \p changes, the others stay. */
+    /** Sets the load of \p host at the endpoints in \p changes; its load at other endpoints stays. */
     void update_peer_load(const std::string& host, const load_by_endpoint& changes, time_point now);
     const load_by_endpoint& own_load() const { return own_load_; }
     send_allowance& allowance() { return allowance_; }
     const send_allowance& allowance() const { return allowance_; }
 
-    /** \return the endpoint to send to, or nothing if none takes work now */
+    /** \return the endpoint to send to, or nothing if no endpoint takes the request now */
     std::optional<placement> choose(const endpoint_wish& wish, const prompt_shape& prompt,
                                     const target_model& model, time_point now);
-    /** \return whether some endpoint of \p service takes requests of this host now or very soon. */
+    /** \return whether some endpoint of \p service takes requests of this host now or within 0.5 s. */
     bool could_serve(const std::string& service, time_point now) const;
-    /** \return how many endpoints of \p service that take work get none of this host now, by the reason */
+    /** \return how many endpoints of \p service that take work get no request of this host now or within 0.5 s,
+     * by reason */
     std::map<exclusion, int> count_exclusions(const std::string& service, time_point now) const;
     std::size_t size() const { return table_.size(); }
 
     void on_sent(const placement& chosen, const prompt_shape& prompt, const endpoint_wish& wish,
                  time_point now);
-    /** The answer's first byte has come. */
+    /** Moves the request from waiting to running once the first byte of its answer has arrived. */
     void on_first_byte(const placement& chosen);
-    /** The attempt has ended. \param had_first_byte whether \ref on_first_byte was called for it */
+    /** Removes the load of an attempt that has ended.
+     * \param had_first_byte whether \ref on_first_byte was called for it */
     void on_ended(const placement& chosen, bool had_first_byte, call_result result, duration took,
                   time_point now);
 
@@ -103,23 +109,23 @@
         time_point at;
     };
     struct engine_cache {
-        std::unordered_map<std::uint64_t, time_point> parts; ///< sent there by this host, by \ref cache_key
+        std::unordered_map<std::uint64_t, time_point> parts; ///< when this host last sent them, by \ref cache_key
     };
 
     endpoint_load load_of(const std::string& endpoint) const;
     void add_peer_load(const load_by_endpoint& load, int sign);
     void drop_silent_peers(time_point now);
-    /// What one endpoint would have to read of a prompt.
+    /// The tokens of a prompt that one endpoint would have to read.
     struct unread_prompt {
         std::int64_t tokens = 0;
-        std::int64_t shared_tokens = 0; ///< of these, of parts that other requests have as well
+        std::int64_t shared_tokens = 0; ///< those of them in parts that other requests share
     };
     unread_prompt unread_at(const endpoint_record& endpoint, const prompt_shape& prompt,
                             const std::string& model, const std::string& home, time_point now) const;
     std::string home_of(const std::vector<endpoint_record>& candidates, const prompt_shape& prompt,
                         const std::string& model) const;
-    /** \param home of the prompt's shared part: its load is shared evenly, so that not knowing it matters
-     * less */
+    /** \param home of the prompt's shared part. An unknown load matters less there, because homes are evenly
+     * distributed. */
     double domain_penalty_ms(const endpoint_record& endpoint, const std::string& home) const;
     void forget_old_parts(engine_cache& cache, time_point now);
 
@@ -131,11 +137,11 @@
     bool prefers_own_domain_ = false;
     load_by_endpoint own_load_;
     std::map<std::string, peer_state> peers_;
-    /// The sum of what \ref peers_ hold. Summed up for each choice, it took a look-up by name for each of
-    /// some 64 peers and 192 endpoints.
+    /// The sum of the loads in \ref peers_, kept up to date because summing for each choice takes a lookup by
+    /// name for each of some 64 peers and 192 endpoints.
     std::unordered_map<std::string, endpoint_load> peer_load_;
     std::map<std::string, engine_cache> engine_caches_;
-    std::map<std::string, std::int64_t> started_at_ms_; ///< by endpoint
+    std::map<std::string, std::int64_t> started_at_ms_; ///< start time of the known process, by endpoint name
 };
 
 } // namespace laurelhoist
--- a/src/placement/first_event_estimate.h
+++ b/src/placement/first_event_estimate.h
@@ -1,11 +1,11 @@
 /** \file
- * Defines the estimate of how long a model takes to give its first event, learned from answers.
+ * Estimates each model's time to the first event of an answer, learned from answers.
  *
- * Engines read prompts in chunks between the tokens of others, so a prompt for a fast model waits for only a
- * part of what is ahead of it. Counted in full, an engine that read a long prompt for the large model looked
- * busy to every chat for half a second: chats left the engines that current their shared part, though those that
- * stayed waited for a third of it (measured on 2,641 first attempts by the small and 1,357 by the large
- * model).
+ * Engines read (prefill) prompts in chunks, interleaved with the generation of tokens for other requests, so a
+ * prompt for a fast model waits for only a part of the backlog ahead of it. If the backlog counted in full, an
+ * engine that reads a long prompt for the large model would look busy to every chat for half a second, and
+ * chats would leave the engines that hold their shared prompt part. Chats that stay wait for a third of it, as
+ * measured on 2,641 first attempts of the small and 1,357 of the large model.
  */
 #pragma once
 
@@ -16,31 +16,31 @@
 
 namespace laurelhoist {
 
-/** What a model's time to the first event grows with. */
+/** The coefficients of a model's time to the first event. */
 struct first_event_costs {
-    double read_ms_per_token = 0; ///< of the prompt, for each token that has to be read
-    double backlog_share = 1;     ///< for each ms that prompts ahead of it take to read
+    double read_ms_per_token = 0; ///< ms for each prompt token that the engine has to read
+    double backlog_share = 1;     ///< ms for each ms that the engine needs to read the prompts ahead
 };
 
-/** One answer that has begun. */
+/** A measured time to the first event. */
 struct first_event_sample {
-    double unread_tokens = 0;
-    double backlog_ms = 0;
-    double took_ms = 0; ///< without what does not grow with either
+    double unread_tokens = 0; ///< prompt tokens that the engine had to read
+    double backlog_ms = 0;    ///< time that the engine needed to read the prompts ahead
+    double took_ms = 0;       ///< time to the first event, without the part that depends on neither
 };
 
-/** Least squares over the answers of each model; older ones count less and less. */
+/** Fits the coefficients of each model by least squares with exponentially decaying weights. */
 class first_event_estimate {
 public:
-    /** \param learns without it the initial costs hold for ever */
+    /** \param learns if false, the initial costs are used throughout */
     explicit first_event_estimate(bool learns = true) : learns_{learns} {}
 
-    /** \param rank how many models of the route are smaller; decides until answers have been seen */
+    /** \param rank how many models of the route are smaller; selects the initial costs */
     first_event_costs costs(const std::string& model, std::size_t rank) const;
     void observe(const std::string& model, std::size_t rank, const first_event_sample& sample);
 
 private:
-    /// Sums of products, each weighted by how much the sample counts.
+    /// The weighted sums of products from which the normal equations are solved.
     struct sums {
         double tokens_tokens = 0;
         double tokens_backlog = 0;
--- a/src/placement/leaving_endpoints.h
+++ b/src/placement/leaving_endpoints.h
@@ -1,8 +1,8 @@
 /** \file
- * Defines which endpoints have said themselves that they are leaving.
+ * Tracks the endpoints that have announced in an answer that they are leaving.
  *
- * Their entries in the store may go on to say that they are ready: some never write that they leave, and what
- * they wrote before may be read late. What a process has said of its own end holds until it is gone.
+ * The store may go on listing such an endpoint as ready: some endpoints never write that they are leaving, and
+ * an entry written earlier may be read late. An announcement therefore holds until the process is gone.
  */
 #pragma once
 
@@ -13,23 +13,24 @@
 
 namespace laurelhoist {
 
-/** The endpoints that get nothing new because they said so. No I/O; the time is an argument. */
+/** The endpoints that get no new requests because they are leaving. No I/O; the time is an argument. */
 class leaving_endpoints {
 public:
-    /** Takes the endpoints as the store lists them. */
+    /** Takes the endpoints as the store lists them and drops announcements of processes that are gone. */
     void update(const std::vector<endpoint_record>& endpoints, time_point now);
-    /** \p endpoint says in an answer that it is leaving. \return whether that is news */
+    /** Records that \p endpoint announced in an answer that it is leaving.
+     * \return whether this was not known before */
     bool note(const endpoint_record& endpoint, time_point now);
     bool is_leaving(const endpoint_record& endpoint) const;
-    /** \return whether \p endpoint said so after \p chosen_at. */
+    /** \return whether \p endpoint announced this at or after \p chosen_at. */
     bool has_begun_since(const endpoint_record& endpoint, time_point chosen_at) const;
 
 private:
     struct departure {
         time_point said_at;
-        time_point listed_at; ///< when the store last listed it
+        time_point listed_at; ///< when the store last listed the process
     };
-    std::map<std::uint32_t, departure> departures_; ///< by process
+    std::map<std::uint32_t, departure> departures_; ///< by \ref process_code
 };
 
 } // namespace laurelhoist
--- a/src/placement/placement.h
+++ b/src/placement/placement.h
@@ -1,5 +1,5 @@
 /** \file
- * The one public header of the placement library: which endpoint a request goes to.
+ * The public header of the placement library, which chooses the endpoint for a request.
  */
 #pragma once
 
--- a/src/placement/send_allowance.h
+++ b/src/placement/send_allowance.h
@@ -1,10 +1,11 @@
 /** \file
- * Defines whether this host may send a request to an endpoint now, for reasons beyond the endpoint's own
- * standing: what operators have ordered, what the endpoint has statement of itself, and what its state bears.
+ * Decides whether this host may send a request to an endpoint now, beyond the endpoint's health: whether its
+ * failure domain is evacuated, whether it announced that it is leaving, asked for backoff or stated a rate
+ * limit, and whether it is cold.
  *
- * Everything that is placed asks here: first and later attempts, steps up to a larger model, resumed streams,
- * trials of a release, calls of plain services and what has waited. All reasons have to allow it, so that the
- * strictest binds where several apply.
+ * Every placement is checked here: first attempts and retries, steps up to a larger model, resumed streams,
+ * trials of a release, calls of plain services and queued requests. All checks have to pass, so that the
+ * strictest one binds.
  */
 #pragma once
 
@@ -16,56 +17,57 @@
 
 namespace laurelhoist {
 
-/** What an endpoint says of itself with one answer. */
+/** The statements that an endpoint makes about itself in one answer. */
 struct endpoint_statement {
-    /// Requests a second that it takes from all hosts together; nothing: it names no limit.
+    /// Requests per second that it takes from all hosts together; nothing: no limit.
     std::optional<double> rate_limit{};
-    /// For how long it wants nothing more from this host; nothing: it asks for no rest.
+    /// For how long it wants no further requests from this host; nothing: no backoff.
     std::optional<duration> back_off{};
-    bool is_leaving = false; ///< it is about to end
+    bool is_leaving = false; ///< the endpoint is about to stop
 };
 
-/** What a statement has changed here. */
+/** The changes that an \ref endpoint_statement caused on this host. */
 struct statement_effects {
-    bool is_limit_changed = false; ///< another limit holds, or none any more
-    bool has_back_off = false;
-    bool is_newly_leaving = false;
+    bool is_limit_changed = false; ///< \see rate_limits::note
+    bool has_back_off = false;     ///< the statement asked for a backoff
+    bool is_newly_leaving = false; ///< the endpoint was not known to be leaving
 };
 
-/** Why an endpoint gets no request of this host now. */
+/** The reason why this host sends an endpoint no request now. */
 enum class exclusion {
     none,
-    evacuated,    ///< operators want nothing sent to its failure domain
-    leaving,      ///< it has statement itself that it is leaving
-    back_off,     ///< it has asked this host for rest
-    rate_limited, ///< it names a limit, and this host's next turn has not come
-    cold,         ///< it has just started, and this host's next turn has not come
+    evacuated,    ///< operators have ordered the evacuation of its failure domain
+    leaving,      ///< it has announced that it is leaving
+    back_off,     ///< it has asked this host for a backoff that is not over
+    rate_limited, ///< it has stated a rate limit, and this host may not send its next request yet
+    cold,         ///< it is cold, and this host may not send its next request yet
 };
 
 const char* to_string(exclusion reason);
 
-/** The endpoints that may be sent to, as one host knows them. No I/O; the time is an argument. */
+/** All reasons of one host for not sending to an endpoint. No I/O; the time is an argument. */
 class send_allowance {
 public:
-    /** \param host its name \param cold of the same host */
+    /** \param host name of this host \param cold cold endpoints as this host sees them */
     send_allowance(std::string host, cold_endpoints cold);
 
     void update(const std::vector<endpoint_record>& endpoints, time_point now);
     /** Takes the live hosts; to be called a few times a second. */
     void set_hosts(const host_view& view, time_point now);
-    /** Sets the failure domains whose endpoints get nothing more; those of domains that are in use again
-     * count as cold. */
+    /** Sets the failure domains whose endpoints get no requests. Endpoints of domains that are no longer
+     * evacuated count as cold. */
     void set_evacuated(const evacuation_set& evacuated, time_point now);
 
-    /** \return the first reason not to send to \p endpoint that lasts for longer than \p max_wait */
+    /** \return the first reason that forbids sending to \p endpoint for longer than \p max_wait */
     exclusion exclusion_of(const endpoint_record& endpoint, duration max_wait, time_point now) const;
-    /** \return whether something became known after \p chosen_at that forbids to send to \p endpoint. */
+    /** \return whether this host has learned, at or after \p chosen_at, of a rate limit, a backoff or a leave
+     * announcement of \p endpoint. */
     bool is_excluded_since(const endpoint_record& endpoint, time_point chosen_at) const;
-    /** \return after what time an endpoint of \p service that is cold, limited or resting now may get a
-     * request, or nothing if none is */
+    /** \return the estimated time until an endpoint of \p service that is cold, rate limited or in a backoff
+     * period may get a request, or nothing if there is no such endpoint */
     std::optional<duration> time_until_available(const std::string& service, time_point now) const;
     void on_sent(const std::string& endpoint, time_point now);
-    /** Takes what \p endpoint says in its answer to a request that was sent at \p sent_at. */
+    /** Takes the statements of \p endpoint in its answer to a request that was sent at \p sent_at. */
     statement_effects note(const endpoint_record& endpoint, const endpoint_statement& statement, time_point sent_at,
                         time_point now);
 
--- a/src/placement/sponsors.h
+++ b/src/placement/sponsors.h
@@ -1,6 +1,6 @@
 /** \file
- * Defines which hosts send to an endpoint that takes few requests: the same few on every host that knows the
- * same others, without a word between them.
+ * Chooses the sponsors of an endpoint that takes few requests: the few hosts that may send to it. Hosts that
+ * know the same live hosts choose the same sponsors without communicating.
  */
 #pragma once
 
@@ -9,14 +9,15 @@
 
 namespace laurelhoist {
 
-/** The live hosts, as one of them knows them. */
+/** The live hosts as one host knows them. */
 struct host_view {
     std::vector<host_status> hosts;
-    bool has_full_view = false; ///< this host has run for long enough to have heard of all
+    bool has_full_view = false; ///< this host has run long enough to have heard of every live host
 };
 
-/** Picks sponsors by rendezvous hash: hosts of the endpoint's failure domain if it has enough, otherwise of
- * all. If a host comes or goes, at most one of them changes.
+/** Chooses sponsors among the serving hosts by rendezvous hashing: from the endpoint's failure domain if it
+ * has at least \p most of them, otherwise from all domains. As long as the choice stays within the same
+ * domains, at most one sponsor changes when a host joins or leaves.
  * \return at most \p most names */
 std::vector<std::string> sponsors_of(const endpoint_record& endpoint, const std::vector<host_status>& hosts,
                                      std::size_t most);
--- a/src/recovery/recovery.h
+++ b/src/recovery/recovery.h
@@ -1,6 +1,6 @@
 /** \file
- * The one public header of the recovery library: how requests are known again, and which of them must not be
- * repeated any more.
+ * The public header of the recovery library, which recognizes repeated requests and quarantines those that end
+ * endpoints.
  */
 #pragma once
 
