--- a/src/placement/cold_endpoints.cpp
+++ b/src/placement/cold_endpoints.cpp
@@ -9,12 +9,13 @@
 
 namespace {
 
-/// Two, so that one may be lost; more would each get too little to be of use.
+/// Two, so that one may be lost. With more sponsors the share of each would be too small to be useful.
 constexpr std::size_t sponsors_per_endpoint = 2;
-/// As many hosts again may take themselves for sponsors: while a domain is cut off, or a host has just come
-/// or gone, two views of the fleet stand side by side.
+/// Twice as many hosts may consider themselves sponsors: while a domain is partitioned off, or just after a
+/// host has joined or left, two views of the fleet exist at once.
 constexpr double concurrent_views = 2.0;
-/// The rest is for requests of hosts that do not know yet that the endpoint is cold.
+/// Share of the bound for hosts that know that the endpoint is cold. The rest is reserved for requests of
+/// hosts that do not know it yet.
 constexpr double informed_share = 0.75;
 
 constexpr cold_sharing_policy sharing_policies[] = {
@@ -23,9 +24,9 @@
     {"none", &cold_endpoints::spacing_of_no_host},
 };
 
-/** \return the shortest time between requests with which no second holds more than \p most of them. */
+/** \return the shortest interval between requests at which no second holds more than \p most of them. */
 duration spacing_for(double most) {
-    // Of whole requests where there is room for one: 1.9 a second make two in some second.
+    // Rounded down to whole requests: at 1.9 requests per second, some second holds two.
     const double requests = most >= 1.0 ? std::floor(most) : most;
     return std::chrono::duration_cast<duration>(std::chrono::duration<double>(1.0 / requests)) +
            milliseconds(1);
@@ -68,7 +69,7 @@
         const bool is_new_entry = is_new || endpoint.record.cold_ms != record.cold_ms ||
                                endpoint.record.started_at_ms != record.started_at_ms;
         if (is_new_entry) {
-            // No longer than any is cold: an entry of another writer may hold any number.
+            // Bounded by the configured cold time, because an entry may hold any number.
             endpoint.warm_at = now + std::min<duration>(service->second.cold_time, milliseconds(record.cold_ms));
         }
         endpoint.record = record;
@@ -100,8 +101,8 @@
         spacing = (this->*sharing_->spacing)(endpoint.record, allowance, view);
     }
     if (spacing && !endpoint.spacing) {
-        // As if one had just been sent: the host that was sponsor until now may have sent some.
-        // Hosts learn of it in the same moment and must not begin in step.
+        // A new sponsor waits as if it had just sent a request, because the previous sponsor may have done so.
+        // The phase keeps hosts that become sponsors at the same moment from sending in step.
         const double phase =
             static_cast<double>(placement_hash(host_ + "/" + endpoint.record.name) % 1000) / 1000;
         const auto first = std::chrono::duration_cast<duration>(*spacing * (1.0 + phase));
@@ -138,7 +139,7 @@
     }
     std::optional<time_point>& refused_at = found->second.refused_at;
     const time_point at = now - age;
-    // Told again only once it is much newer, or every try would go to every host.
+    // Announced again only if it is much newer; otherwise every attempt would be announced to every host.
     const bool is_news = !refused_at || at > *refused_at + refused_cold_time / 4;
     if (!refused_at || at > *refused_at) {
         refused_at = at;
--- a/src/placement/endpoint_directory.cpp
+++ b/src/placement/endpoint_directory.cpp
@@ -6,32 +6,34 @@
 
 namespace {
 
-/// Loads older than this are of a host that has gone or is cut off; hosts tell one another every 0.4 s.
+/// Hosts exchange their loads every 0.4 s, so an older load is that of a host that is gone or partitioned off.
 constexpr duration peer_load_ttl = seconds(2);
-/// An engine's cache outlasts this at the loads planned for; beyond it the part may have been displaced.
+/// How long a part counts as cached after this host sent it. At the planned loads an engine's cache holds parts
+/// for longer; after this time the part may have been evicted.
 constexpr duration sent_part_ttl = seconds(30);
-constexpr std::size_t max_parts_per_engine = 512; ///< remembered for each endpoint: 16 KB
-/// A request may wait for a cold or limited endpoint that takes another one within this time.
+constexpr std::size_t max_parts_per_engine = 512; ///< 16 KB for each endpoint
+/// A request may wait for an endpoint whose exclusion ends within this time.
 constexpr duration max_endpoint_wait = milliseconds(500);
-/// Each running stream lengthens every step of its engine; measured from 0.02 to 0.07 ms a token.
+/// Cost of a running stream in ms: each one lengthens every step of its engine, by 0.02 to 0.07 ms per token.
 constexpr double running_stream_ms = 2.0;
-/// Worth of staying in the failure domain: the crossings themselves take under 4 ms, but each caller's prompt
-/// and answer cross with them, and an engine elsewhere that is sooner by less than this is sooner by chance
-/// as often as not. Worth 0.008 and 0.005 at two sites of 7 and 6 hosts. At 75 ms streams of a third one took
-/// longer while engines of one domain were lost.
+/// Penalty in ms for an endpoint in another failure domain. Crossing takes under 4 ms, but each caller's prompt
+/// and answer cross as well, and a predicted advantage below this is due to chance as often as not. The penalty
+/// is worth 0.008 and 0.005 at two sites of 7 and 6 hosts. At 75 ms the streams of a third site take longer
+/// while engines of one domain are lost.
 constexpr double cross_domain_ms = 30.0;
-constexpr double min_reading_ms = 0.001; ///< less is what rounding left of sums and differences
-/// The load of another domain that is not known: about that of an endpoint at the usual load.
+constexpr double min_reading_ms = 0.001; ///< smaller sums are rounding errors of additions and subtractions
+/// Penalty in ms for an endpoint of another domain whose load is unknown: about the load of an endpoint under
+/// usual traffic.
 constexpr double unknown_domain_load_ms = 120.0;
-/// A shared part from this size on has one home in the whole fleet: read once in each of six domains,
-/// documents of 4,900 tokens that are asked for seven times a minute were read again nearly every time. To
-/// read 1,500 tokens keeps an engine from others as long as a crossing is worth. On a large fleet in a burst
-/// 30 M of them were read again in place of 58 M.
+/// A shared part of at least this size has one home in the whole fleet and not one in each domain. With a home
+/// in each of six domains, documents of 4,900 tokens that are requested seven times a minute are read again
+/// nearly every time. Reading 1,500 tokens occupies an engine for as long as the penalty for crossing domains.
+/// On a large fleet in a burst, 30 M shared tokens are read again in place of 58 M.
 constexpr std::int64_t min_tokens_for_fleet_home = 1500;
-/// What reading a shared token again costs the fleet beside this request's own wait: the engine's time for
-/// all others that run there, and the cache of what yields to a second copy. Without it the small model,
-/// which reads fast, reads shared parts at whichever engine is idle: on a calm day of 18 engines 2.8 M tokens
-/// of them again, with it 2.3 M.
+/// Cost to the fleet of reading a shared token again, beyond this request's own wait: the engine's time for its
+/// other requests and the cache space of a second copy. Without this cost the small model, which reads fast,
+/// reads shared parts at whichever engine is idle: on a calm day of 18 engines 2.8 M tokens again, with it
+/// 2.3 M.
 constexpr double reread_ms_per_token = 0.02;
 
 std::uint64_t cache_key(std::uint64_t part, const std::string& model) {
@@ -52,7 +54,7 @@
     table_.update(endpoints, now);
     allowance_.update(endpoints, now);
     for (const endpoint_record& endpoint : restarted_among(endpoints)) {
-        engine_caches_.erase(endpoint.name); // It holds no part of a prompt.
+        engine_caches_.erase(endpoint.name); // A new process has an empty cache.
     }
     std::set<std::string> listed;
     for (const endpoint_record& endpoint : endpoints) {
@@ -78,7 +80,7 @@
     (void)table_.could_serve(service, "", now, [&](const endpoint_record& endpoint) {
         const exclusion reason = allowance_.exclusion_of(endpoint, max_endpoint_wait, now);
         counts[reason] += reason == exclusion::none ? 0 : 1;
-        return false; // Goes on to the next.
+        return false; // Continues with the next endpoint.
     });
     counts.erase(exclusion::none);
     return counts;
@@ -135,7 +137,7 @@
     peer_state& peer = peers_[host];
     add_peer_load(peer.load, -1);
     if (now - peer.at >= peer_load_ttl) {
-        peer.load.clear(); // What did not change is as old as the last message.
+        peer.load.clear(); // Loads that are not in the changes are as old as the last message.
     }
     for (const auto& [endpoint, load] : changes) {
         peer.load[endpoint] = load;
@@ -161,13 +163,13 @@
 
 std::string endpoint_directory::home_of(const std::vector<endpoint_record>& candidates,
                                         const prompt_shape& prompt, const std::string& model) const {
-    constexpr std::size_t min_parts = 2; // The last part is the request's own.
+    constexpr std::size_t min_parts = 2; // The last part belongs to this request only.
     if (prompt.parts.size() < min_parts || !in_use_.shared_homes) {
         return {};
     }
     const std::size_t shared = prompt.parts.size() - min_parts;
-    // Where hosts keep to their own domain, a home in another one would hardly ever be used, but for a part
-    // that is worth the way.
+    // Hosts that prefer their own domain would hardly ever use a home in another one, except for a part that
+    // is large enough.
     const bool has_near = std::any_of(candidates.begin(), candidates.end(),
                                       [this](const auto& each) { return each.domain == domain_; });
     const bool is_near_only =
@@ -201,7 +203,7 @@
             const auto sent = cache->second.parts.find(cache_key(prompt.parts[i], model));
             is_held = sent != cache->second.parts.end() && now - sent->second < sent_part_ttl;
         }
-        is_known = is_known && is_held; // A part counts only if all before it are there.
+        is_known = is_known && is_held; // A part counts only if all parts before it are cached.
         if (is_known) {
             unread.tokens -= prompt.tokens[i];
         } else if (!is_own_part) {
@@ -232,7 +234,7 @@
     const std::string home = home_of(candidates, prompt, model.name);
     std::optional<placement> best;
     double lowest_cost = 0;
-    // Started at a random one, so that equal endpoints share the work.
+    // Starts at a random candidate, so that endpoints with equal cost share the work.
     const std::size_t first = random_.below(candidates.size());
     for (std::size_t i = 0; i < candidates.size(); ++i) {
         const endpoint_record& endpoint = candidates[(first + i) % candidates.size()];
@@ -282,9 +284,9 @@
     }
 }
 
-// What an engine takes beyond the prediction is not remembered against it: learned for each engine, that
-// drove prompts from engine to engine by chance (0.025 of worth at the smallest site, 0.003 at two larger
-// ones), and engines five times as slow were found little sooner than by their backlogs (0.002 to 0.011).
+// The time that an engine takes beyond the prediction is not learned for each engine. Learning it moves prompts
+// between engines by chance (0.025 of worth at the smallest site, 0.003 at two larger ones), and engines that
+// are five times as slow are detected little sooner than by their backlogs (0.002 to 0.011).
 void endpoint_directory::on_first_byte(const placement& chosen) {
     endpoint_load& load = own_load_[chosen.endpoint.name];
     load.reading_ms -= chosen.reading_ms;
--- a/src/placement/first_event_estimate.cpp
+++ b/src/placement/first_event_estimate.cpp
@@ -7,19 +7,21 @@
 
 namespace {
 
-/// Before anything was measured, in ms a token, by size from the smallest; larger ones count as the last.
+/// Initial cost in ms per token, by the model's rank from the smallest; higher ranks use the last value.
 constexpr double initial_ms_per_token[] = {0.004, 0.01, 0.03};
-/// The initial costs count as much as so many answers about a prompt of the usual size and backlog.
+/// The initial costs have the weight of this many answers to a prompt of typical size and backlog.
 constexpr double prior_answers = 10;
 constexpr double prior_tokens = 2'000;
 constexpr double prior_backlog_ms = 100;
-/// Of an answer's weight with each later one: some 50 answers count, a few seconds of a host's traffic.
+/// Factor on the weight of earlier answers with each new one. About 50 answers count, which are a few seconds
+/// of a host's traffic.
 constexpr double decay = 0.98;
-constexpr double min_informative_tokens = 500; ///< fewer take less than the network's own variation
-constexpr double min_expected_ms = 20; ///< smaller times are told apart by the network, not by the engine
-/// A single answer that took more than this multiple tells of a failing engine, not of the model.
+constexpr double min_informative_tokens = 500; ///< fewer take less time than the variation of the network
+constexpr double min_expected_ms = 20; ///< smaller differences come from the network, not from the engine
+/// A sample is capped at this multiple of the expected time: a slower answer indicates a failing engine and
+/// not a slower model.
 constexpr double max_over_expected = 3;
-constexpr double max_cost_factor = 20; ///< of the initial cost, up and down
+constexpr double max_cost_factor = 20; ///< bounds the learned cost per token to the initial cost divided or multiplied by this
 constexpr double max_backlog_share = 1.5;
 
 double initial_cost(std::size_t rank) {
@@ -36,7 +38,7 @@
     total.backlog_took += weight * sample.backlog_ms * sample.took_ms;
 }
 
-// Two kinds of sample, one with a backlog and one without, so that the initial costs are the solution.
+// Adds one kind of sample with a backlog and one without, so that the initial costs are the solution.
 first_event_estimate::sums first_event_estimate::prior(std::size_t rank) {
     const double reading = initial_cost(rank) * prior_tokens;
     const double weight = prior_answers / std::pow(std::max(reading, min_expected_ms), 2);
@@ -77,8 +79,8 @@
     first_event_sample bounded = sample;
     bounded.took_ms = std::clamp(sample.took_ms, 0.0, expected * max_over_expected);
     sums& total = by_model_.try_emplace(model, prior(rank)).first->second;
-    // What the initial costs count fades as well, but never to nothing: without backlogs for a while the
-    // share of them could not be told.
+    // The weight of the initial costs decays as well, but only to that of one answer. Otherwise the backlog
+    // share could not be determined after a time without backlogs.
     const sums floor = prior(rank);
     for (double sums::*field : {&sums::tokens_tokens, &sums::tokens_backlog, &sums::backlog_backlog,
                                 &sums::tokens_took, &sums::backlog_took}) {
--- a/src/placement/leaving_endpoints.cpp
+++ b/src/placement/leaving_endpoints.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-/// An entry that lapsed in an outage of the store may be back for a moment; after this it is gone for good.
+/// An announcement is kept for this long after the store last listed the process, because an entry that
+/// expired in an outage of the store may be listed again.
 constexpr duration departure_ttl = seconds(60);
 
 std::uint32_t process_code_of(const endpoint_record& endpoint) {
--- a/src/placement/rate_limits.cpp
+++ b/src/placement/rate_limits.cpp
@@ -9,18 +9,20 @@
 
 namespace {
 
-/// Sent to an endpoint that takes less than this, or nobody would learn that its limit is over.
+/// Rate at which an endpoint with a lower limit still gets requests; otherwise no host would learn that its
+/// limit has been lifted.
 constexpr double min_requests_per_s = 0.5;
-/// More is no limit that any endpoint comes near.
+/// Higher limits count as this one; no endpoint reaches such a rate.
 constexpr double max_requests_per_s = 10000;
-/// That a sponsor may catch up on at high rates, where two requests are a matter of milliseconds.
+/// Least delay that a sponsor may catch up on. At high rates two requests are only milliseconds apart.
 constexpr duration min_credit = milliseconds(250);
-/// For what is known of endpoints that are not listed, and of limits that are over: then every host has
-/// heard.
+/// How long statements of endpoints that are not listed, and lifted limits, are kept. By then every host has
+/// heard that a limit was lifted.
 constexpr duration limit_ttl = seconds(30);
-/// A limit that follows the endpoint's load changes a little with each answer, which is told with the rounds.
+/// Relative change that is announced at once. A limit that follows the endpoint's load changes a little with
+/// each answer; smaller changes spread with the gossip rounds.
 constexpr double min_announced_change = 0.1;
-constexpr std::size_t max_known_limits = 1024; ///< of some 150 bytes each
+constexpr std::size_t max_known_limits = 1024; ///< of about 150 bytes each
 constexpr double no_limit = -1;
 
 double effective_rate(double limit) {
@@ -138,7 +140,7 @@
     const double share = effective_rate(limit) / static_cast<double>(parts);
     const auto spacing = std::chrono::duration_cast<duration>(std::chrono::duration<double>(1.0 / share));
     if (!known.own_pace) {
-        // Another host may have sent its part until now, and new sponsors must not begin in step.
+        // Another host may have sent this share until now, and new sponsors must not send in step.
         const double phase = static_cast<double>(placement_hash(host_ + "/" + endpoint.name) % 1000) / 1000;
         const auto first = std::chrono::duration_cast<duration>(spacing * (1.0 + phase));
         known.own_pace = pace{spacing, now + first + credit_of(spacing)};
@@ -270,7 +272,7 @@
         if (!known.statement.requests_per_s || endpoint == nullptr || endpoint->pool != service) {
             continue;
         }
-        // Where this host sends nothing, another does as soon.
+        // If this host is not a sponsor, another host sends the next request within the usual interval.
         const auto usual = std::chrono::duration_cast<duration>(
             std::chrono::duration<double>(1.0 / effective_rate(*known.statement.requests_per_s)));
         const duration left =
--- a/src/recovery/crash_quarantine.cpp
+++ b/src/recovery/crash_quarantine.cpp
@@ -7,32 +7,32 @@
 
 namespace {
 
-/// Requests entry at once, of some 300 bytes each: a caller who sends new bodies all the time cannot fill the
-/// memory.
+/// Bound on the records, of about 300 bytes each, so that a caller who keeps sending new bodies cannot exhaust
+/// the memory.
 constexpr std::size_t max_records = 512;
 constexpr std::size_t max_ends_per_request = 16;
-/// A first or second end is entry against a request for so long. Callers come back within their time limit of
-/// some 20 s; what ends an endpoint once in minutes does little harm.
+/// How long one or two ends count against a request. Callers repeat a request within their time limit of about
+/// 20 s, and a request that ends an endpoint once in several minutes does little harm.
 constexpr duration unquarantined_ttl = seconds(120);
-/// From the last end until a quarantined request is tried again: the first time, then each time this many
-/// times longer. A common question that was quarantined wrongly is back soon; one that does end endpoints
-/// ends five in an hour.
+/// Delay from the last end until a quarantined request is tried again, and its growth with each further end. A
+/// common question that was quarantined wrongly is served again soon; a request that does end endpoints ends
+/// four more in the first hour, after 20 s, 100 s, 420 s and 1,700 s.
 constexpr duration first_trial_delay = seconds(20);
 constexpr double trial_delay_factor = 4.0;
 constexpr duration max_trial_delay = seconds(3600);
-/// Beyond the time of the trial: then the request starts anew, in case the one host that may try it never
-/// gets it.
+/// A quarantine expires this long after its trial was due, because the one host that may try the request may
+/// never receive it.
 constexpr duration quarantine_ttl = seconds(600);
-/// Under way for longer, a trial has come to nothing and another is made.
+/// A trial without a result after this time is made again.
 constexpr duration trial_timeout = seconds(30);
-/// Told for so long, so that a clearing outruns older news of ends.
+/// How long a clearing is kept, so that it overrides older notices of ends that arrive later.
 constexpr duration clearing_ttl = seconds(30);
-/// Ages grow by the time that a message takes; what is later by less is the same clearing heard again.
+/// Transit makes ages too small, so a clearing that seems later by less than this is the known one again.
 constexpr duration clearing_tolerance = seconds(1);
-/// Hosts notice the same end within so long. A later one of the same process is of another process that took
-/// its name, which the store says only seconds later.
+/// Hosts detect the same end within this time. A later end with the same process code is that of a restarted
+/// process, whose new start time the store shows only seconds later.
 constexpr duration same_end_window = milliseconds(500);
-constexpr std::size_t trackers_per_request = 3; ///< two may be lost or out of touch
+constexpr std::size_t trackers_per_request = 3; ///< two may be lost or unreachable
 
 std::int64_t age_ms(time_point at, time_point now) {
     return std::max<std::int64_t>(0, std::llround(to_ms(now - at)));
@@ -210,7 +210,8 @@
             continue;
         }
         update_count(notice.digest, entry, before, now);
-        // Put together here from what several hosts saw: none of them knows it all.
+        // The count was combined here from notices of several hosts, none of which knows the total, so it is
+        // passed on.
         entry.is_pending = entry.is_pending || (entry.counted_ends > static_cast<int>(notice.ends.size()) &&
                                             entry.counted_ends >= ends_to_announce);
     }
