--- a/src/placement/leaving_endpoints.cpp
+++ b/src/placement/leaving_endpoints.cpp
@@ -42,7 +42,7 @@
 
 bool leaving_endpoints::has_begun_since(const endpoint_record& endpoint, time_point chosen_at) const {
     const auto found = departures_.find(process_code_of(endpoint));
-    return found != departures_.end() && found->second.said_at >= chosen_at;
+    return found != departures_.end() && found->second.announced_at >= chosen_at;
 }
 
 } // namespace laurelhoist
--- a/src/placement/leaving_endpoints.h
+++ b/src/placement/leaving_endpoints.h
@@ -27,7 +27,7 @@
 
 private:
     struct departure {
-        time_point said_at;
+        time_point announced_at;
         time_point listed_at; ///< when the store last listed the process
     };
     std::map<std::uint32_t, departure> departures_; ///< by \ref process_code
--- a/src/placement/rate_limits.cpp
+++ b/src/placement/rate_limits.cpp
@@ -115,7 +115,7 @@
     }
 }
 
-std::size_t rate_limits::parts_for_this_host(const endpoint_record& endpoint, double limit) const {
+std::size_t rate_limits::shares_for_this_host(const endpoint_record& endpoint, double limit) const {
     const auto sharers = sharers_.find(endpoint.pool);
     if (sharers != sharers_.end()) {
         return std::max<std::size_t>(1, sharers->second);
@@ -132,7 +132,7 @@
         return;
     }
     const double limit = *known.statement.requests_per_s;
-    const std::size_t parts = parts_for_this_host(endpoint, limit);
+    const std::size_t parts = shares_for_this_host(endpoint, limit);
     if (parts == 0) {
         known.own_pace.reset();
         return;
--- a/src/placement/rate_limits.h
+++ b/src/placement/rate_limits.h
@@ -100,7 +100,7 @@
 
     bool apply_statement(std::uint32_t process, const limit_statement& statement, time_point now);
     /** \return the number of shares into which the limit is divided if this host has one of them; otherwise 0 */
-    std::size_t parts_for_this_host(const endpoint_record& endpoint, double limit) const;
+    std::size_t shares_for_this_host(const endpoint_record& endpoint, double limit) const;
     void assign(known_limit& known, const endpoint_record& endpoint, time_point now) const;
     const endpoint_record* find_listed(std::uint32_t process) const;
     const known_limit* find_limited(const std::string& endpoint) const;
--- a/test/back_offs_test.cpp
+++ b/test/back_offs_test.cpp
@@ -14,8 +14,8 @@
     return made;
 }
 
-// Guards against a second refusal that shortens the rest which the first has asked for.
-RC_GTEST_PROP(back_offs, the_latest_end_of_all_that_was_asked_holds,
+// Guards against a second rejection that shortens the backoff period requested by the first.
+RC_GTEST_PROP(back_offs, the_latest_end_of_all_periods_counts,
               (const std::vector<std::uint16_t>& rests)) {
     back_offs backing_off;
     time_point now = start;
@@ -29,8 +29,8 @@
     }
 }
 
-// Guards against a new process that is left alone because the one before asked for it.
-TEST(back_offs, a_restart_ends_the_rest) {
+// Guards against a backoff period that excludes a new process because the one before requested it.
+TEST(back_offs, a_restart_ends_the_back_off) {
     back_offs backing_off;
     backing_off.note(engine(), seconds(3), start);
     backing_off.update({engine()}, start + seconds(1));
@@ -41,8 +41,9 @@
     EXPECT_EQ(backing_off.time_until_available("pool", start + seconds(1)), std::nullopt);
 }
 
-// Guards against an entry that lapses in an outage of the store and is back before the rest is over.
-TEST(back_offs, an_endpoint_that_is_back_in_the_list_still_rests) {
+// Guards against the loss of a backoff period when the endpoint's entry expires in an outage of the store and
+// is listed again before the period ends.
+TEST(back_offs, a_relisted_endpoint_is_still_backing_off) {
     back_offs backing_off;
     backing_off.note(engine(), seconds(3), start);
     backing_off.update({}, start + seconds(1));
@@ -50,8 +51,8 @@
     EXPECT_FALSE(backing_off.may_send_within("e", duration::zero(), start + seconds(2)));
 }
 
-// Guards against a request that is sent although the refusal came while its connection was made.
-TEST(back_offs, what_was_chosen_before_the_refusal_is_known_by_its_time) {
+// Guards against a request that is sent although the rejection arrived while its connection was being made.
+TEST(back_offs, a_back_off_learned_after_the_choice_is_detected) {
     back_offs backing_off;
     backing_off.note(engine(), seconds(3), start);
     EXPECT_TRUE(backing_off.has_begun_since("e", start - milliseconds(1)));
--- a/test/cold_endpoints_test.cpp
+++ b/test/cold_endpoints_test.cpp
@@ -43,7 +43,7 @@
     return made;
 }
 
-/** Hosts that send to one cold endpoint whenever they may. */
+/** Hosts that send to one cold endpoint whenever they are allowed to. */
 struct cold_fleet {
     cold_fleet(int count, const std::string& sharing) {
         for (int i = 0; i < count; ++i) {
@@ -58,7 +58,7 @@
             }
         }
     }
-    /** \return the most that were sent within one second. */
+    /** \return the most requests that were sent within one second. */
     std::size_t most_in_one_second() const {
         std::size_t most = 0;
         std::size_t first = 0;
@@ -74,9 +74,9 @@
     std::vector<time_point> sent;
 };
 
-// 28 engines of a domain come back at once. Each of 77 hosts sees them idle and sends there, and an engine
-// that takes 12 requests a second breaks down. Hosts are cut off from one another meanwhile, and some
-// restart, so that two views of who is there stand side by side.
+// Guards against the overload of cold engines. When 28 engines of a domain restart at once, each of 77 hosts
+// sees them idle and sends there, and an engine that takes 12 requests a second fails. A partition and restarts
+// of hosts meanwhile give hosts different views of the fleet.
 RC_GTEST_PROP(cold_endpoints, no_second_holds_more_than_the_bound, ()) {
     const int count = *rc::gen::inRange(3, 401);
     const int domains = *rc::gen::inRange(1, 7);
@@ -107,17 +107,18 @@
     RC_ASSERT(static_cast<double>(all.most_in_one_second()) <= most_in_a_second);
 }
 
-TEST(cold_endpoints, without_the_guard_the_bound_is_broken) {
+// Guards against a simulation in which the bound would hold without the limits on cold endpoints.
+TEST(cold_endpoints, without_cold_limits_the_bound_is_exceeded) {
     cold_fleet all(77, "sponsors");
     for (cold_endpoints& each : all.fleet) {
-        each.update({engine("e", 0)}, start + milliseconds(1)); // Taken for warm.
+        each.update({engine("e", 0)}, start + milliseconds(1)); // The entry says that it is warm.
     }
     all.send_all(start + milliseconds(10));
     EXPECT_GT(static_cast<double>(all.most_in_one_second()), most_in_a_second);
 }
 
-// All engines of a fleet are cold after a loss of power. With nobody to send to them no caller is served
-// until they are warm.
+// Guards against sponsors that use too little of what cold engines take. When all engines of a fleet are cold
+// after a power failure, only the sponsors' requests are served until the engines are warm.
 TEST(cold_endpoints, sponsors_use_a_third_of_what_a_cold_endpoint_takes) {
     cold_fleet all(77, "sponsors");
     for (int step = 0; step < 300; ++step) {
@@ -130,7 +131,8 @@
     EXPECT_GE(all.sent.size(), 3 * 12U / 3);
 }
 
-TEST(cold_endpoints, sponsors_are_of_the_endpoints_domain) {
+// Guards against sponsors in another failure domain than the endpoint, and against more or fewer than two.
+TEST(cold_endpoints, sponsors_belong_to_the_endpoints_domain) {
     const std::vector<host_status> everybody = hosts(40, 4);
     int sponsors = 0;
     for (const host_status& each : everybody) {
@@ -144,10 +146,11 @@
     EXPECT_EQ(sponsors, 2);
 }
 
-TEST(cold_endpoints, an_entry_that_counts_down_is_believed) {
+// Guards against an entry that starts its cold time anew each time it is read, and against an ignored update.
+TEST(cold_endpoints, the_cold_time_in_the_latest_entry_counts) {
     cold_endpoints cold = make_cold_endpoints("h", {engine("e", 2000)});
     EXPECT_TRUE(cold.is_cold("e", start + milliseconds(1900)));
-    cold.update({engine("e", 2000)}, start + milliseconds(1900)); // The same entry, read again.
+    cold.update({engine("e", 2000)}, start + milliseconds(1900)); // The same entry is read again.
     EXPECT_FALSE(cold.is_cold("e", start + milliseconds(2100)));
     cold.update({engine("e", 800)}, start + milliseconds(1900));
     EXPECT_TRUE(cold.is_cold("e", start + milliseconds(2600)));
@@ -155,19 +158,20 @@
     EXPECT_FALSE(cold.is_cold("e", start + milliseconds(2600)));
 }
 
-// An engine crashes and is back after two seconds, before its entry lapses. The entry still says that it is
-// warm, and it looks idle: until the new one is read, everybody sends there.
-TEST(cold_endpoints, one_that_refused_a_connection_is_cold_until_the_store_can_know) {
+// Guards against the overload of an engine that crashes and restarts within two seconds, before its entry in
+// the store expires. The old entry says that it is warm, and it looks idle until the new entry is read.
+TEST(cold_endpoints, a_refused_connection_makes_an_endpoint_cold) {
     cold_endpoints cold = make_cold_endpoints("h", {engine("e", 0)});
     EXPECT_FALSE(cold.is_cold("e", start));
     EXPECT_TRUE(cold.on_refused("e", milliseconds(0), start));
-    EXPECT_FALSE(cold.on_refused("e", milliseconds(0), start + milliseconds(100))); // Told already.
+    EXPECT_FALSE(cold.on_refused("e", milliseconds(0), start + milliseconds(100))); // Already known.
     EXPECT_TRUE(cold.is_cold("e", start + seconds(3)));
     EXPECT_FALSE(cold.is_cold("e", start + milliseconds(100) + refused_cold_time));
     EXPECT_FALSE(cold.on_refused("unknown", milliseconds(0), start));
 }
 
-TEST(cold_endpoints, what_others_tell_counts_from_when_it_was_seen) {
+// Guards against a refusal that is passed from host to host and keeps the endpoint cold for ever.
+TEST(cold_endpoints, a_reported_refusal_counts_from_when_it_happened) {
     cold_endpoints cold = make_cold_endpoints("h", {engine("e", 0)});
     EXPECT_TRUE(cold.on_refused("e", seconds(2), start));
     EXPECT_EQ(cold.refused(start).at("e"), seconds(2));
@@ -175,7 +179,8 @@
     EXPECT_FALSE(cold.on_refused("e", refused_cold_time, start));
 }
 
-TEST(cold_endpoints, services_without_cold_starts_are_left_alone) {
+// Guards against limits on endpoints of services for which no cold start is configured.
+TEST(cold_endpoints, services_without_cold_start_are_not_limited) {
     cold_endpoints cold("h", {1.5, 5});
     cold.set_services({{"pool", {seconds(0), 0}}});
     cold.update({engine("e", 3000)}, start);
@@ -201,7 +206,8 @@
     endpoint_directory directory;
 };
 
-// The order reaches a host while requests wait there for a place: they must not go to the domain either.
+// Guards against requests being sent to an evacuated domain. Requests that are queued when the order arrives
+// must not go there either.
 TEST(evacuation, nothing_new_goes_to_the_domain) {
     cold_directory_fixture fixture;
     endpoint_record other = engine("f", 0);
@@ -213,12 +219,12 @@
     }
     fixture.directory.allowance().set_evacuated({{"hall0", "hall1"}}, start);
     EXPECT_FALSE(fixture.choose(start));
-    EXPECT_FALSE(fixture.directory.could_serve("pool", start)); // So callers are told at once.
+    EXPECT_FALSE(fixture.directory.could_serve("pool", start)); // Callers are told at once.
 }
 
-// The engines of a domain were emptied and restarted while it was evacuated. Their entries say so only later;
-// when the order is taken back, all hosts would go back to their usual engines at once.
-TEST(evacuation, a_domain_that_is_used_again_is_cold) {
+// Guards against the overload of engines that were restarted while their domain was evacuated. Their entries
+// show it only later, and all hosts would return to them at once when the order is revoked.
+TEST(evacuation, a_domain_is_cold_after_its_evacuation) {
     cold_directory_fixture fixture;
     fixture.directory.update({engine("e", 0)}, start);
     fixture.directory.allowance().set_evacuated({{"hall0"}}, start);
--- a/test/leaving_endpoints_test.cpp
+++ b/test/leaving_endpoints_test.cpp
@@ -13,8 +13,8 @@
     return made;
 }
 
-// Guards against an entry of the store that is older than the endpoint's own word, or back for a moment after
-// an outage.
+// Guards against an endpoint being used again because its entry in the store is older than its announcement or
+// is listed again after an outage of the store.
 TEST(leaving_endpoints, only_a_new_process_is_used_again) {
     leaving_endpoints leaving;
     EXPECT_TRUE(leaving.note(engine(), start));
@@ -28,16 +28,16 @@
     EXPECT_FALSE(leaving.is_leaving(engine(9000)));
 }
 
-// Guards against memory that grows with each endpoint that ever left.
-TEST(leaving_endpoints, what_is_gone_is_forgotten) {
+// Guards against memory that grows with each endpoint that has ever left.
+TEST(leaving_endpoints, processes_that_are_gone_are_forgotten) {
     leaving_endpoints leaving;
     leaving.note(engine(), start);
     leaving.update({}, start + seconds(61));
     EXPECT_FALSE(leaving.is_leaving(engine()));
 }
 
-// Guards against a request that is sent although the answer came while its connection was made.
-TEST(leaving_endpoints, what_was_chosen_before_is_known_by_its_time) {
+// Guards against a request that is sent although the announcement arrived while its connection was being made.
+TEST(leaving_endpoints, an_announcement_after_the_choice_is_detected) {
     leaving_endpoints leaving;
     leaving.note(engine(), start);
     EXPECT_TRUE(leaving.has_begun_since(engine(), start - milliseconds(1)));
--- a/test/placement_test.cpp
+++ b/test/placement_test.cpp
@@ -48,7 +48,8 @@
     time_point now = time_point{} + seconds(100);
 };
 
-TEST(endpoint_directory, prompts_about_one_subject_go_where_it_was_read) {
+// Guards against a shared part being read at several engines.
+TEST(endpoint_directory, prompts_with_a_common_part_go_to_the_same_endpoint) {
     directory_fixture fixture;
     const placement first = fixture.send(prompt(42, 1, 8000));
     fixture.directory.on_first_byte(first);
@@ -57,9 +58,9 @@
     EXPECT_LT(second.unread_tokens, first.unread_tokens + 1);
 }
 
-// An engine starts again under its name with an empty memory. Chosen for what its earlier process had read,
-// it reads everything again while an engine that does hold the part stands beside it.
-TEST(endpoint_directory, a_restarted_engine_holds_nothing) {
+// Guards against an engine being chosen for the parts that its earlier process had cached. After a restart it
+// has to read them again, although another engine has them in its cache.
+TEST(endpoint_directory, a_restarted_engine_has_an_empty_cache) {
     directory_fixture fixture;
     std::vector<endpoint_record> records = engines(6);
     for (endpoint_record& record : records) {
@@ -78,9 +79,9 @@
     EXPECT_GT(fixture.send(prompt(42, 1, 8000)).unread_tokens, kept);
 }
 
-// A draft is stepped up from the small model to the large one and waits twice as long as predicted: the parts
-// that only the small model had read at an engine were taken for read by the large one as well.
-TEST(endpoint_directory, what_another_model_has_read_is_read_again) {
+// Guards against parts that only the small model has read at an engine counting as cached for the large one: a
+// draft that steps up from the small model to the large one then waits twice as long as predicted.
+TEST(endpoint_directory, a_part_read_by_another_model_is_read_again) {
     directory_fixture fixture;
     fixture.directory.update(engines(1), fixture.now);
     const prompt_shape own{8000, {1}, {8000}};
@@ -89,8 +90,8 @@
     EXPECT_EQ(fixture.send(own, large).unread_tokens, 1);
 }
 
-// On a large fleet hosts keep to their own domain; with one home in the whole fleet, three domains in four
-// read a shared part at whichever engine was idle, again and again.
+// Guards against a single home for a small shared part in a large fleet. Hosts there prefer their own domain,
+// so three domains in four would read the part repeatedly at whichever engine is idle.
 TEST(endpoint_directory, each_domain_of_a_large_fleet_has_a_home_of_its_own) {
     std::set<std::string> homes;
     for (const char* domain : {"hall1", "hall2"}) {
@@ -110,8 +111,8 @@
     EXPECT_EQ(homes.size(), 2U);
 }
 
-// 1,200 documents of 4,900 tokens, each asked for seven times a minute by hosts of all six domains. With a
-// home in each domain they were read again nearly every time; with one in the fleet, once.
+// Guards against a home in each domain for a large shared part. 1,200 documents of 4,900 tokens, each requested
+// seven times a minute by hosts of all six domains, would be read again nearly every time instead of once.
 TEST(endpoint_directory, a_long_shared_part_has_one_home_in_a_large_fleet) {
     std::set<std::string> homes;
     for (const char* domain : {"hall1", "hall2"}) {
@@ -125,9 +126,10 @@
     EXPECT_EQ(homes.size(), 1U);
 }
 
-// The small model reads a shared part of 4,000 tokens in 12 ms, less than the difference in load between two
-// engines. Each engine of a large fleet came to read every part, and yielded others for it.
-TEST(endpoint_directory, a_little_load_does_not_scatter_a_shared_part) {
+// Guards against a shared part being read at another engine because of a small difference in load. The small
+// model reads a part of 4,000 tokens in 12 ms, less than that difference; each engine of a large fleet would
+// read every part and evict others for it.
+TEST(endpoint_directory, a_small_load_does_not_move_a_shared_part) {
     directory_fixture fixture;
     const placement first = fixture.send(prompt(42, 1, 8000), small);
     load_by_endpoint load;
@@ -136,8 +138,8 @@
     EXPECT_EQ(fixture.send(prompt(42, 2, 8000), small).endpoint.name, first.endpoint.name);
 }
 
-// A team sends many requests about one subject. All would queue at the endpoint that has read it, each behind
-// the whole prompts of those before, while the others stand idle: callers wait seconds for the first token.
+// Guards against a queue at a busy home. A team sends many requests with the same shared part; if all wait at
+// the endpoint that has cached it, callers wait seconds for the first token while other endpoints are idle.
 TEST(endpoint_directory, a_busy_home_is_passed_over) {
     directory_fixture fixture;
     std::set<std::string> used;
@@ -147,9 +149,9 @@
     EXPECT_GT(used.size(), 2U);
 }
 
-// Chats wait half a second for a first token that was predicted within 10 ms. Each engine reads long prompts
-// for the large model; counted in tokens and priced as the small model's, 50,000 of them looked like nothing.
-TEST(endpoint_directory, what_a_large_model_has_to_read_counts_in_its_own_time) {
+// Guards against a backlog for the large model being counted in tokens at the small model's cost. 50,000 tokens
+// then look negligible, and a chat waits half a second for a first token that is predicted within 10 ms.
+TEST(endpoint_directory, the_backlog_of_a_large_model_counts_at_its_own_cost) {
     directory_fixture fixture;
     fixture.directory.update(engines(1), fixture.now);
     fixture.send(prompt(42, 1, 50'000));
@@ -157,7 +159,9 @@
     EXPECT_GT(chat.predicted_ms, 700);
 }
 
-TEST(endpoint_directory, what_peers_have_sent_counts) {
+// Guards against requests being sent to an endpoint that other hosts keep busy, and against the load of a host
+// that has stopped counting for ever.
+TEST(endpoint_directory, load_of_peers_counts) {
     directory_fixture fixture;
     const auto alone = fixture.directory.choose(wish_for("pool"), prompt(42, 1, 8000), large, fixture.now);
     load_by_endpoint load;
@@ -168,12 +172,12 @@
     const time_point later = fixture.now + seconds(5);
     const auto after = fixture.directory.choose(wish_for("pool"), prompt(42, 1, 8000), large, later);
     EXPECT_EQ(after->endpoint.name, alone->endpoint.name)
-        << "the load of a host that fell silent is forgotten";
+        << "the load of a host that is no longer heard of expires";
 }
 
-// Hosts tell only what has changed. What a peer does not mention stays as it was, until it has been silent
-// for so long that nothing of it counts.
-TEST(endpoint_directory, what_peers_do_not_mention_stays) {
+// Guards against the loss of load that a peer does not repeat. Hosts send only changed loads; the others stay
+// until the peer has been silent for so long that none of its load counts.
+TEST(endpoint_directory, unmentioned_load_of_peers_stays) {
     directory_fixture fixture;
     load_by_endpoint busy;
     for (const endpoint_record& engine : engines(6)) {
@@ -194,13 +198,12 @@
     fixture.directory.update_peer_load("other", {{"e3", {9000, 0}}}, later);
     EXPECT_NE(fixture.directory.choose(wish_for("pool"), prompt(1, 2, 8000), large, later)->endpoint.name,
               "e3")
-        << "what was said three seconds ago counts no more";
+        << "a load that was sent three seconds ago no longer counts";
 }
 
-// Load pattern: engines of all domains are about equally busy, and which one is predicted to be sooner
-// changes from moment to moment. Taken at its word, two in three prompts crossed to another domain for a few
-// ms.
-TEST(endpoint_directory, a_few_ms_are_no_reason_to_leave_the_domain) {
+// Guards against prompts crossing to another domain for an advantage of a few ms. When engines of all domains
+// are about equally busy, the predicted best one changes all the time, and two in three prompts would cross.
+TEST(endpoint_directory, a_small_advantage_does_not_leave_the_domain) {
     directory_fixture fixture;
     load_by_endpoint load;
     for (const endpoint_record& engine : engines(6)) {
@@ -218,6 +221,7 @@
               "hall2");
 }
 
+// Guards against requests being sent to a release that they must not go to.
 TEST(endpoint_directory, an_unwanted_release_gets_nothing) {
     directory_fixture fixture;
     std::vector<endpoint_record> records = engines(4);
@@ -231,9 +235,9 @@
     EXPECT_NE(fixture.directory.choose(wish, prompt(1, 2, 900), large, fixture.now)->endpoint.name, "e1");
 }
 
-// Chats wait for a third of the long prompts ahead of them. Taken to wait for all of it, they leave the
-// engine that has read their shared part; taken to wait for none, they pile up there.
-TEST(first_event_estimate, learns_what_each_model_waits_for) {
+// Guards against a wrong backlog share. Chats wait for a third of the long prompts ahead of them: with a share
+// of 1 they leave the engine that has cached their shared part, with a share of 0 they queue up there.
+TEST(first_event_estimate, learns_the_costs_of_each_model) {
     first_event_estimate estimate;
     random_source random(5);
     const auto between = [&random](std::uint64_t most) { return static_cast<double>(random.below(most)); };
@@ -250,8 +254,8 @@
     EXPECT_NEAR(estimate.costs("large", 2).backlog_share, 0.95, 0.1);
 }
 
-// One engine hangs and its answers take ten seconds. The model must not count as slow everywhere for it.
-TEST(first_event_estimate, a_failing_engine_says_little_of_the_model) {
+// Guards against a model counting as slow on all engines because one engine hangs and answers in ten seconds.
+TEST(first_event_estimate, a_failing_engine_hardly_changes_the_estimate) {
     first_event_estimate estimate;
     for (int i = 0; i < 200; ++i) {
         const bool hangs = i % 18 == 0;
@@ -260,14 +264,15 @@
     EXPECT_LT(estimate.costs("small", 0).read_ms_per_token, 0.009 * 1.5);
 }
 
-TEST(first_event_estimate, begins_with_what_such_models_usually_need) {
+// Guards against an undefined estimate for a model without answers, or with a rank beyond the initial costs.
+TEST(first_event_estimate, starts_with_the_initial_costs) {
     EXPECT_EQ(first_event_estimate().costs("new", 2).read_ms_per_token, 0.03);
     EXPECT_EQ(first_event_estimate().costs("new", 7).read_ms_per_token, 0.03);
     EXPECT_EQ(first_event_estimate().costs("new", 0).backlog_share, 1);
 }
 
-// Load that is counted up and never down would make an endpoint look busy for ever.
-RC_GTEST_PROP(endpoint_directory, nothing_is_left_of_attempts_that_have_ended, ()) {
+// Guards against load that is added and never removed, which would make an endpoint look busy for ever.
+RC_GTEST_PROP(endpoint_directory, ended_attempts_leave_no_load, ()) {
     directory_fixture fixture;
     const auto steps = *rc::gen::container<std::vector<std::pair<std::uint8_t, bool>>>(
         rc::gen::arbitrary<std::pair<std::uint8_t, bool>>());
--- a/test/rate_limits_test.cpp
+++ b/test/rate_limits_test.cpp
@@ -16,7 +16,7 @@
     return made;
 }
 
-/** A statement of an answer that took 100 ms from request to head, which came \p at after the start. */
+/** The statement in an answer whose head arrived \p at after the start, 100 ms after the request was sent. */
 limit_statement answer_with(std::optional<double> limit, duration at) {
     return {limit, start + at - milliseconds(100), start + at};
 }
@@ -31,8 +31,8 @@
     return limits.note(engine("e"), statement, statement.heard_at);
 }
 
-// Guards against a limit that is lifted by an answer which was made before it was named.
-TEST(rate_limits, an_overtaken_answer_lifts_nothing) {
+// Guards against a limit that is lifted or loosened by an answer that may have been made before the limit.
+TEST(rate_limits, an_overtaken_answer_does_not_lift_a_limit) {
     rate_limits limits = make_rate_limits("host0");
     EXPECT_TRUE(on_answer(limits, answer_with(2.0, milliseconds(1000))));
     EXPECT_FALSE(on_answer(limits, answer_with(std::nullopt, milliseconds(1050))));
@@ -42,16 +42,16 @@
     EXPECT_EQ(limits.limit_of("e"), std::nullopt);
 }
 
-// Guards against a stricter limit that is taken for old news.
-TEST(rate_limits, a_stricter_limit_holds_at_once) {
+// Guards against a stricter limit that is discarded as outdated although it may be newer.
+TEST(rate_limits, a_stricter_limit_takes_effect_at_once) {
     rate_limits limits = make_rate_limits("host0");
     on_answer(limits, answer_with(5.0, milliseconds(1000)));
     EXPECT_TRUE(on_answer(limits, answer_with(2.0, milliseconds(980))));
     EXPECT_EQ(limits.limit_of("e"), 2.0);
-    EXPECT_FALSE(on_answer(limits, answer_with(1.0, milliseconds(500)))) << "that was before both";
+    EXPECT_FALSE(on_answer(limits, answer_with(1.0, milliseconds(500)))) << "this statement is older than both";
 }
 
-// Guards against a new process that is held to the limit of the one before.
+// Guards against the limit of an earlier process being applied to a new one under the same name.
 TEST(rate_limits, a_restart_clears_the_limit) {
     rate_limits limits = make_rate_limits("host0");
     on_answer(limits, answer_with(2.0, milliseconds(1000)));
@@ -61,13 +61,13 @@
     EXPECT_EQ(limits.limit_of("e"), std::nullopt);
 }
 
-// Guards against a host that hears of an older state after a newer one and believes it.
-TEST(rate_limits, a_lifted_limit_does_not_come_back_with_late_news) {
-    rate_limits told = make_rate_limits("host0");
-    on_answer(told, answer_with(2.0, milliseconds(1000)));
-    const std::vector<limit_notice> limited = told.take_pending(start + milliseconds(1010));
-    on_answer(told, answer_with(std::nullopt, milliseconds(1500)));
-    const std::vector<limit_notice> lifted = told.take_pending(start + milliseconds(1510));
+// Guards against a host that takes an older notice after a newer one and limits the endpoint again.
+TEST(rate_limits, late_notices_do_not_restore_a_lifted_limit) {
+    rate_limits source = make_rate_limits("host0");
+    on_answer(source, answer_with(2.0, milliseconds(1000)));
+    const std::vector<limit_notice> limited = source.take_pending(start + milliseconds(1010));
+    on_answer(source, answer_with(std::nullopt, milliseconds(1500)));
+    const std::vector<limit_notice> lifted = source.take_pending(start + milliseconds(1510));
     rate_limits other = make_rate_limits("host1");
     EXPECT_EQ(other.merge(limited, start + milliseconds(1010)), std::vector<std::string>{"e"});
     EXPECT_EQ(other.merge(lifted, start + milliseconds(1510)), std::vector<std::string>{"e"});
@@ -75,8 +75,8 @@
     EXPECT_EQ(other.limit_of("e"), std::nullopt);
 }
 
-// Guards against a request that is sent although the limit came while its connection was made.
-TEST(rate_limits, what_was_chosen_before_a_limit_is_known_by_its_time) {
+// Guards against a request that is sent although the limit arrived while its connection was being made.
+TEST(rate_limits, a_limit_learned_after_the_choice_is_detected) {
     rate_limits limits = make_rate_limits("host0");
     on_answer(limits, answer_with(2.0, milliseconds(1000)));
     EXPECT_TRUE(limits.has_tightened_since("e", start + milliseconds(990)));
@@ -85,16 +85,16 @@
     EXPECT_FALSE(limits.has_tightened_since("e", start + milliseconds(1100)));
 }
 
-// Guards against news that come before the list of endpoints.
-TEST(rate_limits, news_of_an_endpoint_that_is_not_listed_yet_are_kept) {
+// Guards against the loss of notices that arrive before the list of endpoints.
+TEST(rate_limits, notices_of_unlisted_endpoints_are_kept) {
     rate_limits limits("host0");
     limits.merge({{process_code("e", 1000), 2.0, 100, 0}}, start);
     limits.update({engine("e")}, start + seconds(1));
     EXPECT_EQ(limits.limit_of("e"), 2.0);
 }
 
-// Guards against values that no endpoint means: the time to the next request must stay a time.
-RC_GTEST_PROP(rate_limits, any_limit_leaves_room_now_and_then, (double limit, std::int64_t age)) {
+// Guards against absurd limits and ages in a notice: the interval to the next request must stay finite.
+RC_GTEST_PROP(rate_limits, every_limit_allows_a_request_within_five_seconds, (double limit, std::int64_t age)) {
     rate_limits limits = make_rate_limits("host0");
     host_status alone;
     alone.name = "host0";
@@ -104,8 +104,8 @@
     RC_ASSERT(limits.may_send_within("e", seconds(5), start));
 }
 
-// Guards against a part of the limit that stays as it was when more hosts come to use the endpoint.
-TEST(rate_limits, a_known_number_of_sharers_take_even_parts) {
+// Guards against a host that keeps its share of the limit when more hosts begin to use the endpoint.
+TEST(rate_limits, sharers_send_even_shares) {
     rate_limits limits = make_rate_limits("host0");
     const auto sent_in_20_s = [&limits](time_point since) {
         int sent = 0;
@@ -126,7 +126,7 @@
     EXPECT_NEAR(sent_in_20_s(start + seconds(20)), 20, 2);
 }
 
-/** Hosts before one endpoint that names a limit with each answer. Work waits at every host all the time. */
+/** Hosts that send to one endpoint, which states a limit in each answer. Every host always has work. */
 class limited_fleet {
 public:
     limited_fleet(std::size_t hosts, double limit, unsigned seed) : limit_{limit}, random_{seed} {
@@ -152,22 +152,22 @@
         }
     }
 
-    /** The share of datagrams that are lost from now on. */
+    /** Sets the share of datagrams that are lost from now on. */
     void lose(double share) { loss_ = share; }
-    /** Host \p number dies; each other host takes it for live for up to 2.5 s more. */
+    /** Stops host \p number without notice; each other host removes it from its view up to 2.5 s later. */
     void kill(std::size_t number) {
         hosts_[number].is_alive = false;
         for (member& each : hosts_) {
-            each.forgets = {now_ + milliseconds(random_.below(2500)), statuses_[number].name};
+            each.removes = {now_ + milliseconds(random_.below(2500)), statuses_[number].name};
         }
     }
-    /** Host \p number starts anew and knows nothing. */
+    /** Restarts host \p number without any state. */
     void restart(std::size_t number) {
         hosts_[number] = member{make_rate_limits(statuses_[number].name), statuses_, {}, {}, true};
         hosts_[number].started_at = now_;
     }
 
-    /** \return the most that hosts which had passed on the limit sent within 4 s. */
+    /** \return the most requests within 4 s from hosts that had heard of the limit for at least 0.5 s. */
     std::size_t most_in_window() const { return most_in_window_; }
     std::size_t sent_since(time_point since) const {
         return static_cast<std::size_t>(
@@ -177,18 +177,18 @@
 
     static constexpr duration tick = milliseconds(50);
     static constexpr duration window = seconds(4);
-    static constexpr duration until_it_binds = seconds(3); ///< from the endpoint's first word of it
+    static constexpr duration limit_grace = seconds(3); ///< time after the start that does not count
 
 private:
-    struct forgotten {
+    struct removal {
         time_point at;
         std::string host;
     };
     struct member {
         rate_limits limits;
         std::vector<host_status> view;
-        std::optional<time_point> told_at;
-        forgotten forgets;
+        std::optional<time_point> first_told_at;
+        removal removes;
         bool is_alive = true;
         time_point started_at{};
     };
@@ -206,17 +206,17 @@
             if (!host.is_alive || given.sent_at < host.started_at) {
                 continue;
             }
-            host.told_at = host.told_at.value_or(now_);
+            host.first_told_at = host.first_told_at.value_or(now_);
             if (host.limits.note(engine("e"), {limit_, given.sent_at, now_}, now_)) {
                 const std::vector<limit_notice> news = host.limits.take_pending(now_);
                 for (std::size_t other = 0; other < hosts_.size(); ++other) {
-                    tell(other, news);
+                    send_notices(other, news);
                 }
             }
         }
     }
 
-    void tell(std::size_t other, const std::vector<limit_notice>& news) {
+    void send_notices(std::size_t other, const std::vector<limit_notice>& news) {
         if (hosts_[other].is_alive && random_.unit() >= loss_) {
             hosts_[other].limits.merge(news, now_);
         }
@@ -230,10 +230,10 @@
         constexpr std::uint64_t ticks_of_upkeep = 5;
         constexpr std::uint64_t ticks_of_round = 8;
         if ((ticks_ + number) % ticks_of_upkeep == 0) {
-            if (!host.forgets.host.empty() && now_ >= host.forgets.at) {
+            if (!host.removes.host.empty() && now_ >= host.removes.at) {
                 host.view.erase(
                     std::remove_if(host.view.begin(), host.view.end(),
-                                   [&](const auto& each) { return each.name == host.forgets.host; }),
+                                   [&](const auto& each) { return each.name == host.removes.host; }),
                     host.view.end());
             }
             const bool has_full_view = host.started_at == time_point{} || now_ - host.started_at > seconds(3);
@@ -241,7 +241,7 @@
         }
         if ((ticks_ + number) % ticks_of_round == 0) {
             for (int i = 0; i < 3; ++i) {
-                tell(random_.below(hosts_.size()), host.limits.next_to_gossip(8, now_));
+                send_notices(random_.below(hosts_.size()), host.limits.next_to_gossip(8, now_));
             }
         }
         if (host.limits.may_send_within("e", duration::zero(), now_)) {
@@ -254,8 +254,8 @@
         host.limits.on_sent("e", now_);
         answers_.push_back({number, now_, now_ + milliseconds(100)});
         sent_.push_back(now_);
-        const bool is_told = host.told_at && now_ - *host.told_at >= milliseconds(500);
-        if (!is_told || now_ < start + until_it_binds) {
+        const bool is_told = host.first_told_at && now_ - *host.first_told_at >= milliseconds(500);
+        if (!is_told || now_ < start + limit_grace) {
             return;
         }
         counted_.push_back(now_);
@@ -282,8 +282,8 @@
     return 1.5 * 4 * limit + 5;
 }
 
-// Guards against hosts that each keep the limit for themselves, and against views of the fleet that differ:
-// news are lost, hosts die and start anew.
+// Guards against hosts that each use the whole limit, and against an exceeded limit while their views of the
+// fleet differ because notices are lost, hosts stop without notice and hosts restart.
 RC_GTEST_PROP(rate_limits, no_four_seconds_hold_more_than_the_bound, ()) {
     const auto hosts = *rc::gen::inRange<std::size_t>(3, 41);
     const double limit = *rc::gen::element(0.0, 0.3, 1.0, 1.7, 2.3, 5.0, 12.0);
@@ -297,7 +297,7 @@
     RC_ASSERT(static_cast<double>(fleet.most_in_window()) <= bound_of(limit));
 }
 
-// Guards against a bound that holds on small fleets only, and against one that starves the endpoint.
+// Guards against a bound that holds on small fleets only, and against sponsors that use too little of it.
 TEST(rate_limits, a_limit_is_kept_and_used_at_every_size) {
     constexpr double least_use = 0.8;
     for (const std::size_t hosts : {3U, 30U, 100U, 300U, 400U}) {
--- a/test/recovery_test.cpp
+++ b/test/recovery_test.cpp
@@ -22,51 +22,55 @@
     return {process, at_ms(sent_ms), at_ms(ended_ms)};
 }
 
-/** Three ends in a row, 100 ms apart, the last at 300 ms. */
-void end_three(crash_quarantine& quarantine) {
+/** Reports three consecutive ends, 100 ms apart, the last one at 300 ms. */
+void end_three_processes(crash_quarantine& quarantine) {
     for (std::uint32_t i = 0; i < 3; ++i) {
         const std::int64_t sent_ms = std::int64_t{100} * i;
         quarantine.on_end(crashing, end_of(i, sent_ms, sent_ms + 100), at_ms(sent_ms + 100));
     }
 }
 
-TEST(request_digest, two_tries_of_a_request_have_the_same) {
+// Guards against a repeated request that is not recognized.
+TEST(request_digest, two_attempts_of_a_request_have_the_same_digest) {
     const request_identity request{"POST", "/drafts/1", "osijek", "a long prompt"};
     EXPECT_EQ(digest_of(request), digest_of(request));
     EXPECT_EQ(to_text(0xab), "00000000000000ab");
 }
 
-TEST(request_digest, what_differs_in_one_point_has_another) {
+// Guards against a request that is refused because of another one with the same digest.
+TEST(request_digest, requests_that_differ_in_one_field_have_different_digests) {
     const request_digest digest = digest_of({"POST", "/drafts/1", "osijek", "body"});
     EXPECT_NE(digest, digest_of({"PUT", "/drafts/1", "osijek", "body"}));
     EXPECT_NE(digest, digest_of({"POST", "/drafts/2", "osijek", "body"}));
     EXPECT_NE(digest, digest_of({"POST", "/drafts/1", "vukovar", "body"}));
     EXPECT_NE(digest, digest_of({"POST", "/drafts/1", "osijek", "other"}));
-    EXPECT_NE(digest, digest_of({"POST", "/drafts/1", "osijekb", "ody"})) << "fields do not run together";
+    EXPECT_NE(digest, digest_of({"POST", "/drafts/1", "osijekb", "ody"})) << "adjacent fields are kept apart";
 }
 
-TEST(request_digest, its_text_is_read_back) {
+// Guards against an operator lifting the quarantine of another request, or of none.
+TEST(request_digest, the_text_form_is_parsed_back) {
     const request_digest digest = digest_of({"POST", "/drafts/1", "osijek", "body"});
     EXPECT_EQ(digest_from_text(to_text(digest)), digest);
     EXPECT_EQ(digest_from_text("ab"), std::nullopt);
     EXPECT_EQ(digest_from_text("00000000000000ag"), std::nullopt);
 }
 
-TEST(crash_quarantine, three_ends_in_a_row_are_enough) {
+// Guards against a quarantine that comes too late, too early or for another request.
+TEST(crash_quarantine, three_consecutive_ends_quarantine_a_request) {
     crash_quarantine quarantine("h1");
     quarantine.on_end(crashing, end_of(1, 0, 100), at_ms(100));
     quarantine.on_end(crashing, end_of(2, 100, 200), at_ms(200));
     EXPECT_TRUE(quarantine.may_send(crashing, at_ms(200)));
-    quarantine.on_end(crashing, end_of(2, 100, 200), at_ms(210)); // Told twice.
+    quarantine.on_end(crashing, end_of(2, 100, 200), at_ms(210)); // The same end is reported twice.
     EXPECT_TRUE(quarantine.may_send(crashing, at_ms(210)));
     quarantine.on_end(crashing, end_of(3, 200, 300), at_ms(300));
     EXPECT_FALSE(quarantine.may_send(crashing, at_ms(300)));
-    EXPECT_TRUE(quarantine.may_send(crashing + 1, at_ms(300))) << "nobody else's request";
+    EXPECT_TRUE(quarantine.may_send(crashing + 1, at_ms(300))) << "other requests are not affected";
 }
 
-// An engine starts again under its name within a second, and the store shows its new start later than a
-// request ends it once more. Seen by two hosts, one end still counts once.
-TEST(crash_quarantine, an_endpoint_that_is_back_under_its_name_ends_again) {
+// Guards against two ends of a restarted engine counting once, when the store shows the new start only after
+// the second end, and against one end that two hosts detect counting twice.
+TEST(crash_quarantine, ends_of_a_restarted_endpoint_count_separately) {
     crash_quarantine quarantine("h1");
     quarantine.on_end(crashing, end_of(1, 0, 100), at_ms(100));
     quarantine.on_end(crashing, end_of(1, 0, 120), at_ms(120));
@@ -75,9 +79,9 @@
     EXPECT_EQ(quarantine.ends_of(crashing), 2);
 }
 
-// A failure domain loses power with five endpoints at which copies of a common question are under way.
-// Counted one by one, the question would be refused to everybody for twenty seconds.
-TEST(crash_quarantine, endpoints_that_end_at_once_count_once) {
+// Guards against the loss of a failure domain counting as several ends. If five endpoints that run copies of a
+// common question lose power, the question would be refused to every caller for twenty seconds.
+TEST(crash_quarantine, simultaneous_ends_count_once) {
     crash_quarantine quarantine("h1");
     for (std::uint32_t i = 0; i < 5; ++i) {
         quarantine.on_end(crashing, end_of(i, std::int64_t{10} * i, 100), at_ms(100));
@@ -86,21 +90,22 @@
     EXPECT_TRUE(quarantine.may_send(crashing, at_ms(100)));
 }
 
-TEST(crash_quarantine, an_answer_clears_a_request_and_old_news_do_not_bring_it_back) {
+// Guards against a cleared request that is quarantined again by an older notice.
+TEST(crash_quarantine, an_answer_clears_a_request_and_old_notices_do_not_restore_it) {
     crash_quarantine quarantine("h1");
-    end_three(quarantine);
+    end_three_processes(quarantine);
     const std::vector<crash_notice> old = quarantine.known(8, at_ms(400));
     quarantine.clear(crashing, at_ms(500));
     EXPECT_TRUE(quarantine.may_send(crashing, at_ms(500)));
     quarantine.merge(old, at_ms(400));
     EXPECT_TRUE(quarantine.may_send(crashing, at_ms(600)));
-    EXPECT_EQ(quarantine.take_pending(at_ms(600)).for_all.size(), 1U) << "the others hear of it";
+    EXPECT_EQ(quarantine.take_pending(at_ms(600)).for_all.size(), 1U) << "other hosts are told of the clearing";
 }
 
-// A failure domain of a thousand endpoints is lost; the thousands of requests that broke there are answered
-// elsewhere within a second. Told to all of 400 hosts, these clearings would fill every host's link with news
-// of the innocent.
-TEST(crash_quarantine, who_is_cleared_after_a_first_end_is_no_news_for_all) {
+// Guards against clearings that flood the links between hosts. After the loss of a failure domain of a thousand
+// endpoints, thousands of requests are answered elsewhere within a second; the clearing of a request with one
+// end must not be sent to all of 400 hosts.
+TEST(crash_quarantine, a_clearing_after_one_end_is_sent_to_trackers_only) {
     crash_quarantine quarantine("h1");
     quarantine.on_end(crashing, end_of(1, 0, 100), at_ms(100));
     quarantine.take_pending(at_ms(100));
@@ -111,15 +116,15 @@
     EXPECT_TRUE(quarantine.known(8, at_ms(300)).empty());
 }
 
-// A quarantined request is tried again by one host, once, after 20 s; ended again, after 80 s more. The sum
-// over all hosts is the bound: tried by each, it would end as many endpoints as there are hosts.
-TEST(crash_quarantine, one_host_tries_again_and_ever_later) {
+// Guards against a trial by each host, which would end as many endpoints as there are hosts. One host tries a
+// quarantined request once, after 20 s; if that ends an endpoint, the next trial is 80 s later.
+TEST(crash_quarantine, one_host_tries_again_with_growing_delays) {
     const std::vector<std::string> hosts = {"h1", "h2", "h3", "h4"};
     std::vector<crash_quarantine> all;
     for (const std::string& host : hosts) {
         all.emplace_back(host);
         all.back().set_hosts(hosts, true);
-        end_three(all.back());
+        end_three_processes(all.back());
     }
     const auto senders = [&](std::int64_t ms) {
         return std::count_if(all.begin(), all.end(),
@@ -140,17 +145,19 @@
     EXPECT_EQ(senders(100'600), 1);
 }
 
-TEST(crash_quarantine, a_host_that_knows_no_others_tries_nothing) {
+// Guards against a second trial by a host that has just started and takes itself for the only one.
+TEST(crash_quarantine, a_host_without_a_full_view_makes_no_trial) {
     crash_quarantine quarantine("h1");
     quarantine.set_hosts({"h1"}, false);
-    end_three(quarantine);
+    end_three_processes(quarantine);
     EXPECT_FALSE(quarantine.may_send(crashing, at_ms(30'000)));
 }
 
-// A caller sends a new body each time, so that thousands of first ends come together.
-TEST(crash_quarantine, new_bodies_cannot_push_out_what_is_quarantined) {
+// Guards against the eviction of a quarantined request by a caller who sends a new body each time and so causes
+// thousands of first ends.
+TEST(crash_quarantine, new_bodies_cannot_displace_a_quarantined_request) {
     crash_quarantine quarantine("h1");
-    end_three(quarantine);
+    end_three_processes(quarantine);
     for (std::uint32_t i = 0; i < 5000; ++i) {
         quarantine.on_end(1000 + i, end_of(100 + i, 400, 500 + i), at_ms(500 + i));
     }
@@ -159,9 +166,10 @@
     EXPECT_LE(quarantine.take_pending(at_ms(6000)).for_trackers.size(), most);
 }
 
-TEST(crash_quarantine, all_of_it_is_forgotten_in_time) {
+// Guards against records that stay for ever, and against a quarantine that expires as early as a single end.
+TEST(crash_quarantine, records_expire) {
     crash_quarantine quarantine("h1");
-    end_three(quarantine);
+    end_three_processes(quarantine);
     quarantine.on_end(crashing + 1, end_of(8, 0, 100), at_ms(100));
     quarantine.forget_old(at_ms(130'000));
     EXPECT_EQ(quarantine.ends_of(crashing + 1), 0);
@@ -170,8 +178,9 @@
     EXPECT_TRUE(quarantine.is_empty());
 }
 
-// Each host has seen some of the ends; their news come in any order, some of them twice.
-RC_GTEST_PROP(crash_quarantine, news_in_any_order_give_the_same, (const std::vector<std::uint8_t>& order)) {
+// Guards against a count that depends on the order or the repetition of the notices, when several hosts have
+// each detected some of the ends.
+RC_GTEST_PROP(crash_quarantine, notices_in_any_order_give_the_same_count, (const std::vector<std::uint8_t>& order)) {
     std::vector<std::vector<crash_notice>> news;
     for (std::uint32_t i = 0; i < 4; ++i) {
         crash_quarantine observer("s" + std::to_string(i));
@@ -191,8 +200,8 @@
     RC_ASSERT(!receiver.may_send(crashing, at_ms(600)));
 }
 
-/** Hosts that tell one another of ends by messages that take time and may be lost, and one caller whose
- * request ends every endpoint that begins to run it. Time in ms. */
+/** Simulates hosts that tell one another of ends by messages that take time and may be lost, and one caller
+ * whose request ends every endpoint that begins to run it. Times are in ms. */
 class crashing_fleet {
 public:
     crashing_fleet(std::size_t hosts, unsigned seed, bool has_quarantine) : random_{seed}, has_quarantine_{has_quarantine} {
@@ -206,10 +215,11 @@
         }
     }
 
-    /** \return how often the request was sent by hosts in touch later than \p grace_ms after the third end */
-    int sent_too_late(std::int64_t length_ms, std::int64_t grace_ms) {
+    /** \return how often hosts that have run for at least \ref in_touch_ms sent the request later than
+     * \p grace_ms after the third end */
+    int late_sends(std::int64_t length_ms, std::int64_t grace_ms) {
         for (std::int64_t at = 0; at < length_ms; at += 100 + static_cast<std::int64_t>(below(300))) {
-            after(at, [this] { ask(below(hosts_.size()), 0); });
+            after(at, [this] { send_attempts(below(hosts_.size()), 0); });
         }
         for (std::int64_t at = 0; at < length_ms; at += gossip_ms) {
             after(at, [this] { gossip(); });
@@ -247,7 +257,7 @@
     std::size_t below(std::size_t bound) { return random_() % bound; }
     void after(std::int64_t at, std::function<void()> run) { work_.push({at, ++tasks_, std::move(run)}); }
 
-    void ask(std::size_t host, int attempt) {
+    void send_attempts(std::size_t host, int attempt) {
         constexpr int attempts = 3;
         if (attempt >= attempts || (has_quarantine_ && !hosts_[host].may_send(crashing, at_ms(now_)))) {
             return;
@@ -260,9 +270,9 @@
             const endpoint_end end{++processes_, at_ms(sent_at), at_ms(now_)};
             after(now_ + 5, [this, host, end] {
                 hosts_[host].on_end(crashing, end, at_ms(now_));
-                tell(host);
+                announce(host);
             });
-            ask(host, attempt + 1);
+            send_attempts(host, attempt + 1);
         });
     }
 
@@ -273,11 +283,11 @@
         }
         after(now_ + 1 + static_cast<std::int64_t>(below(20)), [this, to, notices] {
             hosts_[to].merge(notices, at_ms(now_));
-            tell(to);
+            announce(to);
         });
     }
 
-    void tell(std::size_t from) {
+    void announce(std::size_t from) {
         const auto pending_notices = hosts_[from].take_pending(at_ms(now_));
         std::vector<std::string> trackers = names_;
         if (names_.size() > small_fleet) {
@@ -319,30 +329,32 @@
     std::vector<std::int64_t> ends_;
 };
 
-// Half of the engines are down for as long as one caller's request comes back, two to four times a second, at
-// any host: no host sees three ends under it, and each sends it to three. The operators allow three more
-// sends after the hosts have had three seconds to hear of the third end.
-RC_GTEST_PROP(crash_quarantine, a_deadly_request_is_hardly_sent_once_hosts_have_heard, (unsigned seed)) {
+// Guards against hosts that each count only the ends they detect themselves. A caller's request that comes back
+// two to four times a second at any host would keep half of the engines down. Once hosts have had three seconds
+// to hear of the third end, at most three more sends are allowed.
+RC_GTEST_PROP(crash_quarantine, a_crashing_request_is_hardly_sent_once_hosts_are_told, (unsigned seed)) {
     quiet_log();
     const std::size_t hosts = 3 + seed % 60;
     constexpr std::int64_t length_ms = 100'000;
     constexpr std::int64_t grace_ms = 3000;
     constexpr int allowed = 3;
     crashing_fleet fleet(hosts, seed, true);
-    const int late = fleet.sent_too_late(length_ms, grace_ms);
+    const int late = fleet.late_sends(length_ms, grace_ms);
     RC_LOG() << "hosts " << hosts << ", sent too late " << late;
     RC_ASSERT(late <= allowed);
 }
 
-TEST(crash_quarantine, without_the_guard_a_deadly_request_is_sent_hundreds_of_times) {
+// Guards against a simulation in which the previous test would pass without the quarantine.
+TEST(crash_quarantine, without_quarantine_a_crashing_request_is_sent_hundreds_of_times) {
     quiet_log();
     crashing_fleet fleet(7, 1, false);
-    EXPECT_GT(fleet.sent_too_late(100'000, 3000), 100);
+    EXPECT_GT(fleet.late_sends(100'000, 3000), 100);
 }
 
-/** Engines that end now and then for reasons of their own, and innocent requests: unique drafts, and common
- * questions that thousands ask. Counts the requests that are quarantined although no endpoint ended by them.
- */
+/** Simulates engines that end now and then for other reasons, under innocent requests: unique drafts, and
+ * common questions that many callers ask.
+ * \param counts_all_running whether an end also counts against requests whose answer had begun
+ * \return the number of requests that are quarantined although they ended no endpoint */
 int count_false_quarantines(unsigned seed, bool counts_all_running) {
     struct running {
         request_digest digest;
@@ -382,7 +394,7 @@
         }
         const bool is_common = random() % 5 == 0;
         send(is_common ? random() % common_questions : next_unique++, now, 1);
-        if (random() % 40 != 0) { // An engine ends each 0.4 s, as in a day at its worst.
+        if (random() % 40 != 0) { // On average an engine ends every 0.4 s, as on the worst day.
             continue;
         }
         const std::size_t ending = random() % engines;
@@ -408,21 +420,21 @@
     return static_cast<int>(quarantined.size());
 }
 
-// Engines end for reasons of their own. A long draft is under way at three of them in a row, and its caller
-// would be told that it ends engines. Counted where nothing had been passed on, innocents are hardly ever at
-// three ends.
-TEST(crash_quarantine, innocent_requests_are_not_quarantined_where_engines_end_by_themselves) {
+// Guards against the quarantine of innocent requests when engines end for other reasons. A long draft may be in
+// flight at three consecutive ends; since only attempts that had passed nothing on count, an innocent request
+// hardly ever reaches three.
+TEST(crash_quarantine, innocent_requests_are_not_quarantined_when_engines_end_for_other_reasons) {
     quiet_log();
     constexpr unsigned days = 20;
-    int kept = 0;
-    int all_under_way = 0;
+    int false_quarantines = 0;
+    int all_running = 0;
     for (unsigned seed = 1; seed <= days; ++seed) {
-        kept += count_false_quarantines(seed, false);
-        all_under_way += count_false_quarantines(seed, true);
+        false_quarantines += count_false_quarantines(seed, false);
+        all_running += count_false_quarantines(seed, true);
     }
-    EXPECT_EQ(kept, 0);
-    EXPECT_GT(all_under_way, 0) << "the other way: every attempt under way counts";
-    RecordProperty("all_under_way", all_under_way);
+    EXPECT_EQ(false_quarantines, 0);
+    EXPECT_GT(all_running, 0) << "if every attempt in flight counts, innocent requests are quarantined";
+    RecordProperty("all_under_way", all_running);
 }
 
 } // namespace
