--- a/src/placement/cold_endpoints.h
+++ b/src/placement/cold_endpoints.h
@@ -95,7 +95,7 @@
         endpoint_record record;
         time_point warm_at;
         std::optional<time_point> refused_at;
-        std::optional<duration> spacing; ///< between requests of this host; \see cold_sharing_policy::spacing
+        std::optional<duration> spacing; ///< interval between requests of this host; nothing: it sends none
         time_point next_send;            ///< earliest time of this host's next request
     };
 
--- a/src/placement/rate_limits.h
+++ b/src/placement/rate_limits.h
@@ -13,9 +13,9 @@
  * A limited endpoint therefore has sponsors, one more than the whole requests in its limit. Each sponsor sends
  * an even share of the limit at a fixed rate; all other hosts send nothing. The first answer that states a
  * limit is announced to all hosts. Example: an endpoint with a limit of 1.7 has two sponsors, each of which
- * sends a request every 1.18 s. A sponsor that falls behind may send one request late and accumulates no
- * further credit, so four seconds hold at most 6 times the limit plus 2 requests. A limit below 0.5 counts as
- * 0.5.
+ * sends a request every 1.18 s. A sponsor that falls behind may catch up on one request, or at high rates on
+ * 250 ms of requests, and accumulates no further credit, so four seconds hold at most 6 times the limit plus
+ * 2 requests. A limit below 0.5 counts as 0.5.
  */
 #pragma once
 
