--- a/src/placement/cold_endpoints.cpp
+++ b/src/placement/cold_endpoints.cpp
@@ -67,10 +67,11 @@
         const auto [item, is_new] = endpoints_.try_emplace(record.name);
         known_endpoint& endpoint = item->second;
         const bool is_new_entry = is_new || endpoint.record.cold_ms != record.cold_ms ||
-                               endpoint.record.started_at_ms != record.started_at_ms;
+                                  endpoint.record.started_at_ms != record.started_at_ms;
         if (is_new_entry) {
             // Bounded by the configured cold time, because an entry may hold any number.
-            endpoint.warm_at = now + std::min<duration>(service->second.cold_time, milliseconds(record.cold_ms));
+            endpoint.warm_at =
+                now + std::min<duration>(service->second.cold_time, milliseconds(record.cold_ms));
         }
         endpoint.record = record;
     }
@@ -101,8 +102,8 @@
         spacing = (this->*sharing_->spacing)(endpoint.record, allowance, view);
     }
     if (spacing && !endpoint.spacing) {
-        // A new sponsor waits as if it had just sent a request, because the previous sponsor may have done so.
-        // The phase keeps hosts that become sponsors at the same moment from sending in step.
+        // A new sponsor waits as if it had just sent a request, because the previous sponsor may have done
+        // so. The phase keeps hosts that become sponsors at the same moment from sending in step.
         const double phase =
             static_cast<double>(placement_hash(host_ + "/" + endpoint.record.name) % 1000) / 1000;
         const auto first = std::chrono::duration_cast<duration>(*spacing * (1.0 + phase));
@@ -128,7 +129,7 @@
 }
 
 std::optional<duration> cold_endpoints::spacing_of_no_host(const endpoint_record&, double,
-                                                          const host_view&) const {
+                                                           const host_view&) const {
     return std::nullopt;
 }
 
@@ -161,7 +162,8 @@
     for (auto& [name, endpoint] : endpoints_) {
         if (endpoint.record.domain == domain) {
             const auto service = services_.find(endpoint.record.pool);
-            const duration cold_time = service == services_.end() ? duration::zero() : service->second.cold_time;
+            const duration cold_time =
+                service == services_.end() ? duration::zero() : service->second.cold_time;
             endpoint.warm_at = std::max(endpoint.warm_at, now + cold_time);
         }
     }
--- a/src/placement/cold_endpoints.h
+++ b/src/placement/cold_endpoints.h
@@ -1,9 +1,9 @@
 /** \file
  * Limits how many requests a cold endpoint gets, and from which hosts.
  *
- * An endpoint is cold for some seconds after it starts: during that time it takes only a few requests a second
- * and fails under more. The bound applies to all hosts together, including hosts that do not hear of one
- * another.
+ * An endpoint is cold for some seconds after it starts: during that time it takes only a few requests a
+ * second and fails under more. The bound applies to all hosts together, including hosts that do not hear of
+ * one another.
  *
  * Load pattern: the 28 engines of a failure domain restart at once beside 84 busy ones. All 77 hosts see them
  * idle and send there: an engine that takes 12 requests a second gets 25 to 29.
@@ -38,7 +38,8 @@
 /** A policy that divides the allowance of a cold endpoint among hosts. */
 struct cold_sharing_policy {
     const char* name;
-    /// Returns the interval between two requests of this host to the endpoint, or nothing if it must not send.
+    /// Returns the interval between two requests of this host to the endpoint, or nothing if it must not
+    /// send.
     std::optional<duration> (cold_endpoints::*spacing)(const endpoint_record&, double allowance,
                                                        const host_view&) const;
 };
@@ -47,7 +48,8 @@
 class cold_endpoints {
 public:
     /** \param host name of this host
-     * \param sharing name of the sharing policy, see \ref cold_sharing_names; an unknown name means "sponsors" */
+     * \param sharing name of the sharing policy, see \ref cold_sharing_names; an unknown name means
+     * "sponsors" */
     cold_endpoints(std::string host, const cold_bound& bound, const std::string& sharing = "sponsors");
 
     void set_services(std::map<std::string, cold_start> services) { services_ = std::move(services); }
@@ -57,9 +59,9 @@
     /** Takes the live hosts and reassigns the rates of cold endpoints; to be called a few times a second. */
     void set_hosts(const host_view& view, time_point now);
 
-    /** Records that \p endpoint refused a connection \p age ago: its process has ended, and once restarted the
-     * endpoint is cold, which the store shows up to three seconds later.
-     * \return whether other hosts should be told: the refusal was not known or is much newer than the one known
+    /** Records that \p endpoint refused a connection \p age ago: its process has ended, and once restarted
+     * the endpoint is cold, which the store shows up to three seconds later. \return whether other hosts
+     * should be told: the refusal was not known or is much newer than the one known
      */
     bool on_refused(const std::string& endpoint, duration age, time_point now);
     /** \return the endpoints that refused a connection within \ref refused_cold_time, and how long ago. */
@@ -88,7 +90,7 @@
     /** Policy "none", for experiments: no host sends to a cold endpoint, so no request is served while all
      * endpoints are cold. */
     std::optional<duration> spacing_of_no_host(const endpoint_record& endpoint, double allowance,
-                                              const host_view& view) const;
+                                               const host_view& view) const;
 
 private:
     struct known_endpoint {
@@ -116,9 +118,9 @@
 /** \return the names of the sharing policies, separated by commas. */
 std::string cold_sharing_names();
 
-/// How long an endpoint that refused a connection counts as cold: 3.6 s + 1.2 s + 2 s. Its process restarts at
-/// any time until its entry in the store expires after 3.6 s; it rewrites the entry within 1.2 s, and the last
-/// host reads that 2 s later. After a later restart the new entry states how long the endpoint is cold.
+/// How long an endpoint that refused a connection counts as cold: 3.6 s + 1.2 s + 2 s. Its process restarts
+/// at any time until its entry in the store expires after 3.6 s; it rewrites the entry within 1.2 s, and the
+/// last host reads that 2 s later. After a later restart the new entry states how long the endpoint is cold.
 constexpr duration refused_cold_time = milliseconds(6800);
 
 } // namespace laurelhoist
--- a/src/placement/endpoint_directory.cpp
+++ b/src/placement/endpoint_directory.cpp
@@ -6,34 +6,35 @@
 
 namespace {
 
-/// Hosts exchange their loads every 0.4 s, so an older load is that of a host that is gone or partitioned off.
+/// Hosts exchange their loads every 0.4 s, so an older load is that of a host that is gone or partitioned
+/// off.
 constexpr duration peer_load_ttl = seconds(2);
-/// How long a part counts as cached after this host sent it. At the planned loads an engine's cache holds parts
-/// for longer; after this time the part may have been evicted.
+/// How long a part counts as cached after this host sent it. At the planned loads an engine's cache holds
+/// parts for longer; after this time the part may have been evicted.
 constexpr duration sent_part_ttl = seconds(30);
 constexpr std::size_t max_parts_per_engine = 512; ///< 16 KB for each endpoint
 /// A request may wait for an endpoint whose exclusion ends within this time.
 constexpr duration max_endpoint_wait = milliseconds(500);
 /// Cost of a running stream in ms: each one lengthens every step of its engine, by 0.02 to 0.07 ms per token.
 constexpr double running_stream_ms = 2.0;
-/// Penalty in ms for an endpoint in another failure domain. Crossing takes under 4 ms, but each caller's prompt
-/// and answer cross as well, and a predicted advantage below this is due to chance as often as not. The penalty
-/// is worth 0.008 and 0.005 at two sites of 7 and 6 hosts. At 75 ms the streams of a third site take longer
-/// while engines of one domain are lost.
+/// Penalty in ms for an endpoint in another failure domain. Crossing takes under 4 ms, but each caller's
+/// prompt and answer cross as well, and a predicted advantage below this is due to chance as often as not.
+/// The penalty is worth 0.008 and 0.005 at two sites of 7 and 6 hosts. At 75 ms the streams of a third site
+/// take longer while engines of one domain are lost.
 constexpr double cross_domain_ms = 30.0;
 constexpr double min_reading_ms = 0.001; ///< smaller sums are rounding errors of additions and subtractions
 /// Penalty in ms for an endpoint of another domain whose load is unknown: about the load of an endpoint under
 /// usual traffic.
 constexpr double unknown_domain_load_ms = 120.0;
-/// A shared part of at least this size has one home in the whole fleet and not one in each domain. With a home
-/// in each of six domains, documents of 4,900 tokens that are requested seven times a minute are read again
-/// nearly every time. Reading 1,500 tokens occupies an engine for as long as the penalty for crossing domains.
-/// On a large fleet in a burst, 30 M shared tokens are read again in place of 58 M.
+/// A shared part of at least this size has one home in the whole fleet and not one in each domain. With a
+/// home in each of six domains, documents of 4,900 tokens that are requested seven times a minute are read
+/// again nearly every time. Reading 1,500 tokens occupies an engine for as long as the penalty for crossing
+/// domains. On a large fleet in a burst, 30 M shared tokens are read again in place of 58 M.
 constexpr std::int64_t min_tokens_for_fleet_home = 1500;
-/// Cost to the fleet of reading a shared token again, beyond this request's own wait: the engine's time for its
-/// other requests and the cache space of a second copy. Without this cost the small model, which reads fast,
-/// reads shared parts at whichever engine is idle: on a calm day of 18 engines 2.8 M tokens again, with it
-/// 2.3 M.
+/// Cost to the fleet of reading a shared token again, beyond this request's own wait: the engine's time for
+/// its other requests and the cache space of a second copy. Without this cost the small model, which reads
+/// fast, reads shared parts at whichever engine is idle: on a calm day of 18 engines 2.8 M tokens again, with
+/// it 2.3 M.
 constexpr double reread_ms_per_token = 0.02;
 
 std::uint64_t cache_key(std::uint64_t part, const std::string& model) {
@@ -75,7 +76,8 @@
     });
 }
 
-std::map<exclusion, int> endpoint_directory::count_exclusions(const std::string& service, time_point now) const {
+std::map<exclusion, int> endpoint_directory::count_exclusions(const std::string& service,
+                                                              time_point now) const {
     std::map<exclusion, int> counts;
     (void)table_.could_serve(service, "", now, [&](const endpoint_record& endpoint) {
         const exclusion reason = allowance_.exclusion_of(endpoint, max_endpoint_wait, now);
@@ -284,9 +286,9 @@
     }
 }
 
-// The time that an engine takes beyond the prediction is not learned for each engine. Learning it moves prompts
-// between engines by chance (0.025 of worth at the smallest site, 0.003 at two larger ones), and engines that
-// are five times as slow are detected little sooner than by their backlogs (0.002 to 0.011).
+// The time that an engine takes beyond the prediction is not learned for each engine. Learning it moves
+// prompts between engines by chance (0.025 of worth at the smallest site, 0.003 at two larger ones), and
+// engines that are five times as slow are detected little sooner than by their backlogs (0.002 to 0.011).
 void endpoint_directory::on_first_byte(const placement& chosen) {
     endpoint_load& load = own_load_[chosen.endpoint.name];
     load.reading_ms -= chosen.reading_ms;
--- a/src/placement/endpoint_directory.h
+++ b/src/placement/endpoint_directory.h
@@ -3,10 +3,10 @@
  *
  * A request of a plain service goes to the endpoint with the fewest requests in flight, with a preference for
  * this host's failure domain. A request of an engine goes to the endpoint with the lowest predicted time to
- * the first token, computed from the time that the prompts waiting there take to read (prefill), the number of
- * running streams, and the parts of the prompt in the engine's cache. Load pattern: prompts of 6,000 to 50,000
- * tokens arrive among chats of 800; by the number of requests, two endpoints look equally loaded while one is
- * a second behind.
+ * the first token, computed from the time that the prompts waiting there take to read (prefill), the number
+ * of running streams, and the parts of the prompt in the engine's cache. Load pattern: prompts of 6,000 to
+ * 50,000 tokens arrive among chats of 800; by the number of requests, two endpoints look equally loaded while
+ * one is a second behind.
  *
  * The shared part of a prompt has a home endpoint for each model, the same on every host by rendezvous
  * hashing, so that it is read once and not once for each host. Another endpoint is chosen once the backlog of
@@ -73,8 +73,8 @@
     std::vector<endpoint_record> restarted_among(const std::vector<endpoint_record>& endpoints) const;
     /** Sets how many requests one endpoint of \p service runs at once, and how many hosts share it. */
     void set_slots(const std::string& service, int slots, std::size_t sharers);
-    /** Sets whether endpoints of other failure domains are used only when those of this domain are busy. To be
-     * set on a large fleet, where hosts know the load of the endpoints in their own domain only. */
+    /** Sets whether endpoints of other failure domains are used only when those of this domain are busy. To
+     * be set on a large fleet, where hosts know the load of the endpoints in their own domain only. */
     void prefer_own_domain(bool is_preferred) { prefers_own_domain_ = is_preferred; }
     /** Sets the load that \p host has in flight. It counts until nothing is heard of it for 2 s. */
     void set_peer_load(const std::string& host, load_by_endpoint load, time_point now);
@@ -89,8 +89,8 @@
                                     const target_model& model, time_point now);
     /** \return whether some endpoint of \p service takes requests of this host now or within 0.5 s. */
     bool could_serve(const std::string& service, time_point now) const;
-    /** \return how many endpoints of \p service that take work get no request of this host now or within 0.5 s,
-     * by reason */
+    /** \return how many endpoints of \p service that take work get no request of this host now or within 0.5
+     * s, by reason */
     std::map<exclusion, int> count_exclusions(const std::string& service, time_point now) const;
     std::size_t size() const { return table_.size(); }
 
@@ -109,7 +109,8 @@
         time_point at;
     };
     struct engine_cache {
-        std::unordered_map<std::uint64_t, time_point> parts; ///< when this host last sent them, by \ref cache_key
+        std::unordered_map<std::uint64_t, time_point>
+            parts; ///< when this host last sent them, by \ref cache_key
     };
 
     endpoint_load load_of(const std::string& endpoint) const;
--- a/src/placement/first_event_estimate.cpp
+++ b/src/placement/first_event_estimate.cpp
@@ -21,7 +21,8 @@
 /// A sample is capped at this multiple of the expected time: a slower answer indicates a failing engine and
 /// not a slower model.
 constexpr double max_over_expected = 3;
-constexpr double max_cost_factor = 20; ///< bounds the learned cost per token to the initial cost divided or multiplied by this
+constexpr double max_cost_factor =
+    20; ///< bounds the learned cost per token to the initial cost divided or multiplied by this
 constexpr double max_backlog_share = 1.5;
 
 double initial_cost(std::size_t rank) {
@@ -75,7 +76,7 @@
     }
     const first_event_costs current = costs(model, rank);
     const double expected = std::max(min_expected_ms, sample.unread_tokens * current.read_ms_per_token +
-                                                   sample.backlog_ms * current.backlog_share);
+                                                          sample.backlog_ms * current.backlog_share);
     first_event_sample bounded = sample;
     bounded.took_ms = std::clamp(sample.took_ms, 0.0, expected * max_over_expected);
     sums& total = by_model_.try_emplace(model, prior(rank)).first->second;
--- a/src/placement/first_event_estimate.h
+++ b/src/placement/first_event_estimate.h
@@ -1,11 +1,11 @@
 /** \file
  * Estimates each model's time to the first event of an answer, learned from answers.
  *
- * Engines read (prefill) prompts in chunks, interleaved with the generation of tokens for other requests, so a
- * prompt for a fast model waits for only a part of the backlog ahead of it. If the backlog counted in full, an
- * engine that reads a long prompt for the large model would look busy to every chat for half a second, and
- * chats would leave the engines that hold their shared prompt part. Chats that stay wait for a third of it, as
- * measured on 2,641 first attempts of the small and 1,357 of the large model.
+ * Engines read (prefill) prompts in chunks, interleaved with the generation of tokens for other requests, so
+ * a prompt for a fast model waits for only a part of the backlog ahead of it. If the backlog counted in full,
+ * an engine that reads a long prompt for the large model would look busy to every chat for half a second, and
+ * chats would leave the engines that hold their shared prompt part. Chats that stay wait for a third of it,
+ * as measured on 2,641 first attempts of the small and 1,357 of the large model.
  */
 #pragma once
 
--- a/src/placement/leaving_endpoints.h
+++ b/src/placement/leaving_endpoints.h
@@ -1,8 +1,8 @@
 /** \file
  * Tracks the endpoints that have announced in an answer that they are leaving.
  *
- * The store may go on listing such an endpoint as ready: some endpoints never write that they are leaving, and
- * an entry written earlier may be read late. An announcement therefore holds until the process is gone.
+ * The store may go on listing such an endpoint as ready: some endpoints never write that they are leaving,
+ * and an entry written earlier may be read late. An announcement therefore holds until the process is gone.
  */
 #pragma once
 
--- a/src/placement/rate_limits.cpp
+++ b/src/placement/rate_limits.cpp
@@ -55,7 +55,8 @@
 
 limit_notice to_notice(std::uint32_t process, const limit_statement& statement, time_point now) {
     const auto age = [now](time_point at) { return std::llround(to_ms(now - at)); };
-    return {process, statement.requests_per_s.value_or(no_limit), age(statement.sent_at), age(statement.heard_at)};
+    return {process, statement.requests_per_s.value_or(no_limit), age(statement.sent_at),
+            age(statement.heard_at)};
 }
 
 } // namespace
@@ -146,13 +147,15 @@
         known.own_pace = pace{spacing, now + first + credit_of(spacing)};
     } else if (spacing != known.own_pace->spacing) {
         const time_point next = known.last_sent + spacing + credit_of(spacing);
-        known.own_pace = pace{spacing, spacing > known.own_pace->spacing ? std::max(next, known.own_pace->due) : known.own_pace->due};
+        known.own_pace = pace{spacing, spacing > known.own_pace->spacing ? std::max(next, known.own_pace->due)
+                                                                         : known.own_pace->due};
     }
 }
 
 bool rate_limits::apply_statement(std::uint32_t process, const limit_statement& statement, time_point now) {
     const auto found = known_limits_.find(process);
-    if (found == known_limits_.end() && (!statement.requests_per_s || known_limits_.size() >= max_known_limits)) {
+    if (found == known_limits_.end() &&
+        (!statement.requests_per_s || known_limits_.size() >= max_known_limits)) {
         return false;
     }
     known_limit& known = known_limits_[process];
@@ -165,7 +168,7 @@
         return false;
     }
     known.statement = {after, std::max(known.statement.sent_at, statement.sent_at),
-                 std::max(known.statement.heard_at, statement.heard_at)};
+                       std::max(known.statement.heard_at, statement.heard_at)};
     if (after == before) {
         return false;
     }
@@ -276,7 +279,9 @@
         const auto usual = std::chrono::duration_cast<duration>(
             std::chrono::duration<double>(1.0 / effective_rate(*known.statement.requests_per_s)));
         const duration left =
-            known.own_pace ? std::max(duration::zero(), known.own_pace->due - credit_of(known.own_pace->spacing) - now) : usual;
+            known.own_pace
+                ? std::max(duration::zero(), known.own_pace->due - credit_of(known.own_pace->spacing) - now)
+                : usual;
         first = first ? std::min(*first, left) : left;
     }
     return first;
--- a/src/placement/rate_limits.h
+++ b/src/placement/rate_limits.h
@@ -10,12 +10,12 @@
  * two look idle, so both hosts of their failure domain send them four requests a second each, although they
  * hear of the limit with each answer.
  *
- * A limited endpoint therefore has sponsors, one more than the whole requests in its limit. Each sponsor sends
- * an even share of the limit at a fixed rate; all other hosts send nothing. The first answer that states a
- * limit is announced to all hosts. Example: an endpoint with a limit of 1.7 has two sponsors, each of which
- * sends a request every 1.18 s. A sponsor that falls behind may catch up on one request, or at high rates on
- * 250 ms of requests, and accumulates no further credit, so four seconds hold at most 6 times the limit plus
- * 2 requests. A limit below 0.5 counts as 0.5.
+ * A limited endpoint therefore has sponsors, one more than the whole requests in its limit. Each sponsor
+ * sends an even share of the limit at a fixed rate; all other hosts send nothing. The first answer that
+ * states a limit is announced to all hosts. Example: an endpoint with a limit of 1.7 has two sponsors, each
+ * of which sends a request every 1.18 s. A sponsor that falls behind may catch up on one request, or at high
+ * rates on 250 ms of requests, and accumulates no further credit, so four seconds hold at most 6 times the
+ * limit plus 2 requests. A limit below 0.5 counts as 0.5.
  */
 #pragma once
 
@@ -60,8 +60,8 @@
     void set_sharers(const std::string& pool, std::size_t sharers);
 
     /** Takes the statement in an answer of \p endpoint.
-     * \return whether a limit was set or lifted or changed by more than a tenth, so that other hosts should be
-     * told at once */
+     * \return whether a limit was set or lifted or changed by more than a tenth, so that other hosts should
+     * be told at once */
     bool note(const endpoint_record& endpoint, const limit_statement& statement, time_point now);
     /** Takes statements that another host has received. Repeated ones and those that are certainly older than
      * the known one have no effect.
@@ -91,15 +91,16 @@
     };
     struct known_limit {
         limit_statement statement;
-        time_point changed_at;         ///< when this host last took a different limit
-        bool is_pending = false;       ///< to be returned by \ref take_pending
-        bool is_assigned = false;      ///< own_pace is up to date with the limit, the sharers and the hosts
-        std::optional<pace> own_pace;  ///< nothing: this host is not a sponsor
+        time_point changed_at;        ///< when this host last took a different limit
+        bool is_pending = false;      ///< to be returned by \ref take_pending
+        bool is_assigned = false;     ///< own_pace is up to date with the limit, the sharers and the hosts
+        std::optional<pace> own_pace; ///< nothing: this host is not a sponsor
         time_point last_sent;
     };
 
     bool apply_statement(std::uint32_t process, const limit_statement& statement, time_point now);
-    /** \return the number of shares into which the limit is divided if this host has one of them; otherwise 0 */
+    /** \return the number of shares into which the limit is divided if this host has one of them; otherwise 0
+     */
     std::size_t shares_for_this_host(const endpoint_record& endpoint, double limit) const;
     void assign(known_limit& known, const endpoint_record& endpoint, time_point now) const;
     const endpoint_record* find_listed(std::uint32_t process) const;
@@ -111,9 +112,9 @@
     std::vector<endpoint_record> listed_;
     std::map<std::string, std::uint32_t> processes_;  ///< \ref process_code of the listed endpoints, by name
     std::map<std::uint32_t, std::size_t> by_process_; ///< index in \ref listed_ by process code
-    std::map<std::uint32_t, known_limit> known_limits_;         ///< by process code; also of endpoints not listed yet
-    std::map<std::string, std::size_t> sharers_;      ///< hosts that use an endpoint, by pool
-    std::uint32_t last_gossiped_ = 0;                     ///< process code last returned by \ref next_to_gossip
+    std::map<std::uint32_t, known_limit> known_limits_; ///< by process code; also of endpoints not listed yet
+    std::map<std::string, std::size_t> sharers_;        ///< hosts that use an endpoint, by pool
+    std::uint32_t last_gossiped_ = 0;                   ///< process code last returned by \ref next_to_gossip
 };
 
 } // namespace laurelhoist
--- a/src/placement/send_allowance.cpp
+++ b/src/placement/send_allowance.cpp
@@ -54,7 +54,8 @@
     evacuated_ = evacuated;
 }
 
-exclusion send_allowance::exclusion_of(const endpoint_record& endpoint, duration max_wait, time_point now) const {
+exclusion send_allowance::exclusion_of(const endpoint_record& endpoint, duration max_wait,
+                                       time_point now) const {
     for (const exclusion_check& each : exclusion_checks) {
         if (!(this->*each.allows)(endpoint, max_wait, now)) {
             return each.reason;
@@ -69,7 +70,8 @@
            leaving_.has_begun_since(endpoint, chosen_at);
 }
 
-std::optional<duration> send_allowance::time_until_available(const std::string& service, time_point now) const {
+std::optional<duration> send_allowance::time_until_available(const std::string& service,
+                                                             time_point now) const {
     std::optional<duration> first;
     for (const std::optional<duration>& room :
          {cold_.first_warm_in(service, now), limits_.time_until_available(service, now),
@@ -85,7 +87,7 @@
 }
 
 statement_effects send_allowance::note(const endpoint_record& endpoint, const endpoint_statement& statement,
-                                    time_point sent_at, time_point now) {
+                                       time_point sent_at, time_point now) {
     statement_effects effects;
     effects.is_limit_changed = limits_.note(endpoint, {statement.rate_limit, sent_at, now}, now);
     effects.is_newly_leaving = statement.is_leaving && leaving_.note(endpoint, now);
@@ -104,17 +106,18 @@
     return !leaving_.is_leaving(endpoint);
 }
 
-bool send_allowance::is_past_back_off(const endpoint_record& endpoint, duration max_wait, time_point now) const {
+bool send_allowance::is_past_back_off(const endpoint_record& endpoint, duration max_wait,
+                                      time_point now) const {
     return back_offs_.may_send_within(endpoint.name, max_wait, now);
 }
 
 bool send_allowance::is_within_rate_limit(const endpoint_record& endpoint, duration max_wait,
-                                     time_point now) const {
+                                          time_point now) const {
     return limits_.may_send_within(endpoint.name, max_wait, now);
 }
 
 bool send_allowance::is_within_cold_limit(const endpoint_record& endpoint, duration max_wait,
-                                    time_point now) const {
+                                          time_point now) const {
     return cold_.may_send_within(endpoint.name, max_wait, now);
 }
 
--- a/src/placement/send_allowance.h
+++ b/src/placement/send_allowance.h
@@ -68,8 +68,8 @@
     std::optional<duration> time_until_available(const std::string& service, time_point now) const;
     void on_sent(const std::string& endpoint, time_point now);
     /** Takes the statements of \p endpoint in its answer to a request that was sent at \p sent_at. */
-    statement_effects note(const endpoint_record& endpoint, const endpoint_statement& statement, time_point sent_at,
-                        time_point now);
+    statement_effects note(const endpoint_record& endpoint, const endpoint_statement& statement,
+                           time_point sent_at, time_point now);
 
     cold_endpoints& cold() { return cold_; }
     const cold_endpoints& cold() const { return cold_; }
--- a/src/recovery/crash_quarantine.cpp
+++ b/src/recovery/crash_quarantine.cpp
@@ -7,16 +7,16 @@
 
 namespace {
 
-/// Bound on the records, of about 300 bytes each, so that a caller who keeps sending new bodies cannot exhaust
-/// the memory.
+/// Bound on the records, of about 300 bytes each, so that a caller who keeps sending new bodies cannot
+/// exhaust the memory.
 constexpr std::size_t max_records = 512;
 constexpr std::size_t max_ends_per_request = 16;
-/// How long one or two ends count against a request. Callers repeat a request within their time limit of about
-/// 20 s, and a request that ends an endpoint once in several minutes does little harm.
+/// How long one or two ends count against a request. Callers repeat a request within their time limit of
+/// about 20 s, and a request that ends an endpoint once in several minutes does little harm.
 constexpr duration unquarantined_ttl = seconds(120);
-/// Delay from the last end until a quarantined request is tried again, and its growth with each further end. A
-/// common question that was quarantined wrongly is served again soon; a request that does end endpoints ends
-/// four more in the first hour, after 20 s, 100 s, 420 s and 1,700 s.
+/// Delay from the last end until a quarantined request is tried again, and its growth with each further end.
+/// A common question that was quarantined wrongly is served again soon; a request that does end endpoints
+/// ends four more in the first hour, after 20 s, 100 s, 420 s and 1,700 s.
 constexpr duration first_trial_delay = seconds(20);
 constexpr double trial_delay_factor = 4.0;
 constexpr duration max_trial_delay = seconds(3600);
@@ -134,7 +134,8 @@
 
 bool crash_quarantine::add_end(record& entry, const endpoint_end& end) {
     const bool is_known = std::any_of(entry.ends.begin(), entry.ends.end(), [&](const endpoint_end& each) {
-        return each.process == end.process && std::chrono::abs(each.ended_at - end.ended_at) < same_end_window;
+        return each.process == end.process &&
+               std::chrono::abs(each.ended_at - end.ended_at) < same_end_window;
     });
     if (is_known || (entry.cleared_at && end.ended_at <= *entry.cleared_at)) {
         return false;
@@ -155,12 +156,13 @@
     }
     entry.cleared_at = cleared_at;
     entry.ends.erase(std::remove_if(entry.ends.begin(), entry.ends.end(),
-                                   [&](const endpoint_end& end) { return end.ended_at <= cleared_at; }),
-                    entry.ends.end());
+                                    [&](const endpoint_end& end) { return end.ended_at <= cleared_at; }),
+                     entry.ends.end());
     return true;
 }
 
-void crash_quarantine::update_count(request_digest digest, record& entry, int counted_before, time_point now) {
+void crash_quarantine::update_count(request_digest digest, record& entry, int counted_before,
+                                    time_point now) {
     entry.counted_ends = static_cast<int>(consecutive_ends(entry.ends).size());
     entry.is_fleet_wide = entry.is_fleet_wide || entry.counted_ends >= ends_to_announce;
     entry.changed_at = now;
@@ -213,7 +215,7 @@
         // The count was combined here from notices of several hosts, none of which knows the total, so it is
         // passed on.
         entry.is_pending = entry.is_pending || (entry.counted_ends > static_cast<int>(notice.ends.size()) &&
-                                            entry.counted_ends >= ends_to_announce);
+                                                entry.counted_ends >= ends_to_announce);
     }
 }
 
@@ -222,7 +224,7 @@
         const record& entry = item->second;
         const time_point over_at = is_quarantined(entry) ? trial_due(entry) + quarantine_ttl
                                    : !entry.ends.empty() ? entry.ends.back().ended_at + unquarantined_ttl
-                                                        : entry.cleared_at.value_or(now) + clearing_ttl;
+                                                         : entry.cleared_at.value_or(now) + clearing_ttl;
         const bool is_over = now > over_at || (entry.ends.empty() && !entry.cleared_at);
         item = is_over ? records_.erase(item) : std::next(item);
     }
--- a/src/recovery/crash_quarantine.h
+++ b/src/recovery/crash_quarantine.h
@@ -5,16 +5,16 @@
  * a second at any host. Each host sends it to as many engines as its route allows; the streams of all other
  * callers end with these engines, and half of the engines are restarting at any moment.
  *
- * Which ends count: when a process ends, everything in flight there fails with it, and a long stream or a common
- * question is in flight at many ends. An end therefore counts against a request only if the attempt had
- * passed nothing on to the caller, and if the attempt was sent after the previous counted end. The loss of a
- * whole failure domain thus counts once, however many copies of a common question were in flight there. One
- * complete answer clears a request. After \ref ends_to_quarantine ends it is quarantined: no host sends it.
- * Example: sent at 0 s, process 1 ended at 0.1 s; a copy sent at 0.05 s ends process 2 at 0.2 s, which does not
- * count; sent again at 0.2 s, process 3 ended at 0.3 s: two ends count.
+ * Which ends count: when a process ends, everything in flight there fails with it, and a long stream or a
+ * common question is in flight at many ends. An end therefore counts against a request only if the attempt
+ * had passed nothing on to the caller, and if the attempt was sent after the previous counted end. The loss
+ * of a whole failure domain thus counts once, however many copies of a common question were in flight there.
+ * One complete answer clears a request. After \ref ends_to_quarantine ends it is quarantined: no host sends
+ * it. Example: sent at 0 s, process 1 ended at 0.1 s; a copy sent at 0.05 s ends process 2 at 0.2 s, which
+ * does not count; sent again at 0.2 s, process 3 ended at 0.3 s: two ends count.
  *
- * A quarantine may be wrong, so the request is tried again, by one host and with one attempt, after a delay that
- * grows with each end. All other hosts go on refusing it until it is cleared.
+ * A quarantine may be wrong, so the request is tried again, by one host and with one attempt, after a delay
+ * that grows with each end. All other hosts go on refusing it until it is cleared.
  */
 #pragma once
 
--- a/src/recovery/recovery.h
+++ b/src/recovery/recovery.h
@@ -1,6 +1,6 @@
 /** \file
- * The public header of the recovery library, which recognizes repeated requests and quarantines those that end
- * endpoints.
+ * The public header of the recovery library, which recognizes repeated requests and quarantines those that
+ * end endpoints.
  */
 #pragma once
 
--- a/src/recovery/request_digest.cpp
+++ b/src/recovery/request_digest.cpp
@@ -21,7 +21,8 @@
     std::string text;
     text.reserve(request.body.size() + request.target.size() + request.team.size() + 64);
     for (const std::string_view field : {request.method, request.target, request.team, request.body}) {
-        append_field(text, field); // Prefixed with its length, so that different fields never give the same text.
+        append_field(text,
+                     field); // Prefixed with its length, so that different fields never give the same text.
     }
     return std::stoull(sha256_hex(text).substr(0, hex_digits), nullptr, hex_digits);
 }
--- a/src/recovery/request_digest.h
+++ b/src/recovery/request_digest.h
@@ -22,8 +22,8 @@
     std::string_view body;
 };
 
-/** \return the digest of \p request: 64 bits of a SHA-256. A weaker hash would let a caller choose a body with
- * the digest of another team's request and have that request quarantined. */
+/** \return the digest of \p request: 64 bits of a SHA-256. A weaker hash would let a caller choose a body
+ * with the digest of another team's request and have that request quarantined. */
 request_digest digest_of(const request_identity& request);
 
 /** \return the digest in \p text, or nothing if it is not 16 hexadecimal digits as in \ref to_text. */
--- a/test/back_offs_test.cpp
+++ b/test/back_offs_test.cpp
@@ -15,8 +15,7 @@
 }
 
 // Guards against a second rejection that shortens the backoff period requested by the first.
-RC_GTEST_PROP(back_offs, the_latest_end_of_all_periods_counts,
-              (const std::vector<std::uint16_t>& rests)) {
+RC_GTEST_PROP(back_offs, the_latest_end_of_all_periods_counts, (const std::vector<std::uint16_t>& rests)) {
     back_offs backing_off;
     time_point now = start;
     time_point until = start;
--- a/test/cold_endpoints_test.cpp
+++ b/test/cold_endpoints_test.cpp
@@ -36,7 +36,7 @@
 }
 
 cold_endpoints make_cold_endpoints(const std::string& name, const std::vector<endpoint_record>& endpoints,
-                       const std::string& sharing = "sponsors") {
+                                   const std::string& sharing = "sponsors") {
     cold_endpoints made(name, {1.5, 5}, sharing);
     made.set_services({{"pool", engine_start}});
     made.update(endpoints, start);
@@ -75,8 +75,8 @@
 };
 
 // Guards against the overload of cold engines. When 28 engines of a domain restart at once, each of 77 hosts
-// sees them idle and sends there, and an engine that takes 12 requests a second fails. A partition and restarts
-// of hosts meanwhile give hosts different views of the fleet.
+// sees them idle and sends there, and an engine that takes 12 requests a second fails. A partition and
+// restarts of hosts meanwhile give hosts different views of the fleet.
 RC_GTEST_PROP(cold_endpoints, no_second_holds_more_than_the_bound, ()) {
     const int count = *rc::gen::inRange(3, 401);
     const int domains = *rc::gen::inRange(1, 7);
--- a/test/leaving_endpoints_test.cpp
+++ b/test/leaving_endpoints_test.cpp
@@ -13,8 +13,8 @@
     return made;
 }
 
-// Guards against an endpoint being used again because its entry in the store is older than its announcement or
-// is listed again after an outage of the store.
+// Guards against an endpoint being used again because its entry in the store is older than its announcement
+// or is listed again after an outage of the store.
 TEST(leaving_endpoints, only_a_new_process_is_used_again) {
     leaving_endpoints leaving;
     EXPECT_TRUE(leaving.note(engine(), start));
@@ -36,7 +36,8 @@
     EXPECT_FALSE(leaving.is_leaving(engine()));
 }
 
-// Guards against a request that is sent although the announcement arrived while its connection was being made.
+// Guards against a request that is sent although the announcement arrived while its connection was being
+// made.
 TEST(leaving_endpoints, an_announcement_after_the_choice_is_detected) {
     leaving_endpoints leaving;
     leaving.note(engine(), start);
--- a/test/placement_test.cpp
+++ b/test/placement_test.cpp
@@ -79,8 +79,8 @@
     EXPECT_GT(fixture.send(prompt(42, 1, 8000)).unread_tokens, kept);
 }
 
-// Guards against parts that only the small model has read at an engine counting as cached for the large one: a
-// draft that steps up from the small model to the large one then waits twice as long as predicted.
+// Guards against parts that only the small model has read at an engine counting as cached for the large one:
+// a draft that steps up from the small model to the large one then waits twice as long as predicted.
 TEST(endpoint_directory, a_part_read_by_another_model_is_read_again) {
     directory_fixture fixture;
     fixture.directory.update(engines(1), fixture.now);
@@ -111,8 +111,9 @@
     EXPECT_EQ(homes.size(), 2U);
 }
 
-// Guards against a home in each domain for a large shared part. 1,200 documents of 4,900 tokens, each requested
-// seven times a minute by hosts of all six domains, would be read again nearly every time instead of once.
+// Guards against a home in each domain for a large shared part. 1,200 documents of 4,900 tokens, each
+// requested seven times a minute by hosts of all six domains, would be read again nearly every time instead
+// of once.
 TEST(endpoint_directory, a_long_shared_part_has_one_home_in_a_large_fleet) {
     std::set<std::string> homes;
     for (const char* domain : {"hall1", "hall2"}) {
@@ -149,8 +150,9 @@
     EXPECT_GT(used.size(), 2U);
 }
 
-// Guards against a backlog for the large model being counted in tokens at the small model's cost. 50,000 tokens
-// then look negligible, and a chat waits half a second for a first token that is predicted within 10 ms.
+// Guards against a backlog for the large model being counted in tokens at the small model's cost. 50,000
+// tokens then look negligible, and a chat waits half a second for a first token that is predicted within 10
+// ms.
 TEST(endpoint_directory, the_backlog_of_a_large_model_counts_at_its_own_cost) {
     directory_fixture fixture;
     fixture.directory.update(engines(1), fixture.now);
@@ -159,8 +161,8 @@
     EXPECT_GT(chat.predicted_ms, 700);
 }
 
-// Guards against requests being sent to an endpoint that other hosts keep busy, and against the load of a host
-// that has stopped counting for ever.
+// Guards against requests being sent to an endpoint that other hosts keep busy, and against the load of a
+// host that has stopped counting for ever.
 TEST(endpoint_directory, load_of_peers_counts) {
     directory_fixture fixture;
     const auto alone = fixture.directory.choose(wish_for("pool"), prompt(42, 1, 8000), large, fixture.now);
@@ -235,8 +237,8 @@
     EXPECT_NE(fixture.directory.choose(wish, prompt(1, 2, 900), large, fixture.now)->endpoint.name, "e1");
 }
 
-// Guards against a wrong backlog share. Chats wait for a third of the long prompts ahead of them: with a share
-// of 1 they leave the engine that has cached their shared part, with a share of 0 they queue up there.
+// Guards against a wrong backlog share. Chats wait for a third of the long prompts ahead of them: with a
+// share of 1 they leave the engine that has cached their shared part, with a share of 0 they queue up there.
 TEST(first_event_estimate, learns_the_costs_of_each_model) {
     first_event_estimate estimate;
     random_source random(5);
--- a/test/rate_limits_test.cpp
+++ b/test/rate_limits_test.cpp
@@ -48,7 +48,8 @@
     on_answer(limits, answer_with(5.0, milliseconds(1000)));
     EXPECT_TRUE(on_answer(limits, answer_with(2.0, milliseconds(980))));
     EXPECT_EQ(limits.limit_of("e"), 2.0);
-    EXPECT_FALSE(on_answer(limits, answer_with(1.0, milliseconds(500)))) << "this statement is older than both";
+    EXPECT_FALSE(on_answer(limits, answer_with(1.0, milliseconds(500))))
+        << "this statement is older than both";
 }
 
 // Guards against the limit of an earlier process being applied to a new one under the same name.
@@ -94,7 +95,8 @@
 }
 
 // Guards against absurd limits and ages in a notice: the interval to the next request must stay finite.
-RC_GTEST_PROP(rate_limits, every_limit_allows_a_request_within_five_seconds, (double limit, std::int64_t age)) {
+RC_GTEST_PROP(rate_limits, every_limit_allows_a_request_within_five_seconds,
+              (double limit, std::int64_t age)) {
     rate_limits limits = make_rate_limits("host0");
     host_status alone;
     alone.name = "host0";
--- a/test/recovery_test.cpp
+++ b/test/recovery_test.cpp
@@ -79,8 +79,8 @@
     EXPECT_EQ(quarantine.ends_of(crashing), 2);
 }
 
-// Guards against the loss of a failure domain counting as several ends. If five endpoints that run copies of a
-// common question lose power, the question would be refused to every caller for twenty seconds.
+// Guards against the loss of a failure domain counting as several ends. If five endpoints that run copies of
+// a common question lose power, the question would be refused to every caller for twenty seconds.
 TEST(crash_quarantine, simultaneous_ends_count_once) {
     crash_quarantine quarantine("h1");
     for (std::uint32_t i = 0; i < 5; ++i) {
@@ -99,12 +99,13 @@
     EXPECT_TRUE(quarantine.may_send(crashing, at_ms(500)));
     quarantine.merge(old, at_ms(400));
     EXPECT_TRUE(quarantine.may_send(crashing, at_ms(600)));
-    EXPECT_EQ(quarantine.take_pending(at_ms(600)).for_all.size(), 1U) << "other hosts are told of the clearing";
+    EXPECT_EQ(quarantine.take_pending(at_ms(600)).for_all.size(), 1U)
+        << "other hosts are told of the clearing";
 }
 
-// Guards against clearings that flood the links between hosts. After the loss of a failure domain of a thousand
-// endpoints, thousands of requests are answered elsewhere within a second; the clearing of a request with one
-// end must not be sent to all of 400 hosts.
+// Guards against clearings that flood the links between hosts. After the loss of a failure domain of a
+// thousand endpoints, thousands of requests are answered elsewhere within a second; the clearing of a request
+// with one end must not be sent to all of 400 hosts.
 TEST(crash_quarantine, a_clearing_after_one_end_is_sent_to_trackers_only) {
     crash_quarantine quarantine("h1");
     quarantine.on_end(crashing, end_of(1, 0, 100), at_ms(100));
@@ -127,8 +128,9 @@
         end_three_processes(all.back());
     }
     const auto senders = [&](std::int64_t ms) {
-        return std::count_if(all.begin(), all.end(),
-                             [&](const crash_quarantine& each) { return each.may_send(crashing, at_ms(ms)); });
+        return std::count_if(all.begin(), all.end(), [&](const crash_quarantine& each) {
+            return each.may_send(crashing, at_ms(ms));
+        });
     };
     EXPECT_EQ(senders(20'200), 0);
     EXPECT_EQ(senders(20'400), 1);
@@ -153,8 +155,8 @@
     EXPECT_FALSE(quarantine.may_send(crashing, at_ms(30'000)));
 }
 
-// Guards against the eviction of a quarantined request by a caller who sends a new body each time and so causes
-// thousands of first ends.
+// Guards against the eviction of a quarantined request by a caller who sends a new body each time and so
+// causes thousands of first ends.
 TEST(crash_quarantine, new_bodies_cannot_displace_a_quarantined_request) {
     crash_quarantine quarantine("h1");
     end_three_processes(quarantine);
@@ -180,7 +182,8 @@
 
 // Guards against a count that depends on the order or the repetition of the notices, when several hosts have
 // each detected some of the ends.
-RC_GTEST_PROP(crash_quarantine, notices_in_any_order_give_the_same_count, (const std::vector<std::uint8_t>& order)) {
+RC_GTEST_PROP(crash_quarantine, notices_in_any_order_give_the_same_count,
+              (const std::vector<std::uint8_t>& order)) {
     std::vector<std::vector<crash_notice>> news;
     for (std::uint32_t i = 0; i < 4; ++i) {
         crash_quarantine observer("s" + std::to_string(i));
@@ -204,7 +207,8 @@
  * whose request ends every endpoint that begins to run it. Times are in ms. */
 class crashing_fleet {
 public:
-    crashing_fleet(std::size_t hosts, unsigned seed, bool has_quarantine) : random_{seed}, has_quarantine_{has_quarantine} {
+    crashing_fleet(std::size_t hosts, unsigned seed, bool has_quarantine)
+        : random_{seed}, has_quarantine_{has_quarantine} {
         for (std::size_t i = 0; i < hosts; ++i) {
             names_.push_back("h" + std::to_string(i));
         }
@@ -329,9 +333,9 @@
     std::vector<std::int64_t> ends_;
 };
 
-// Guards against hosts that each count only the ends they detect themselves. A caller's request that comes back
-// two to four times a second at any host would keep half of the engines down. Once hosts have had three seconds
-// to hear of the third end, at most three more sends are allowed.
+// Guards against hosts that each count only the ends they detect themselves. A caller's request that comes
+// back two to four times a second at any host would keep half of the engines down. Once hosts have had three
+// seconds to hear of the third end, at most three more sends are allowed.
 RC_GTEST_PROP(crash_quarantine, a_crashing_request_is_hardly_sent_once_hosts_are_told, (unsigned seed)) {
     quiet_log();
     const std::size_t hosts = 3 + seed % 60;
@@ -420,9 +424,9 @@
     return static_cast<int>(quarantined.size());
 }
 
-// Guards against the quarantine of innocent requests when engines end for other reasons. A long draft may be in
-// flight at three consecutive ends; since only attempts that had passed nothing on count, an innocent request
-// hardly ever reaches three.
+// Guards against the quarantine of innocent requests when engines end for other reasons. A long draft may be
+// in flight at three consecutive ends; since only attempts that had passed nothing on count, an innocent
+// request hardly ever reaches three.
 TEST(crash_quarantine, innocent_requests_are_not_quarantined_when_engines_end_for_other_reasons) {
     quiet_log();
     constexpr unsigned days = 20;
