--- a/src/placement/endpoint_directory.h
+++ b/src/placement/endpoint_directory.h
@@ -89,8 +89,8 @@
                                     const target_model& model, time_point now);
     /** \return whether some endpoint of \p service takes requests of this host now or within 0.5 s. */
     bool could_serve(const std::string& service, time_point now) const;
-    /** \return how many endpoints of \p service that take work get no request of this host now or within 0.5
-     * s, by reason */
+    /** \return how many endpoints of \p service that take work get no request of this host now or within
+     * 0.5 s, by reason */
     std::map<exclusion, int> count_exclusions(const std::string& service, time_point now) const;
     std::size_t size() const { return table_.size(); }
 
@@ -109,8 +109,7 @@
         time_point at;
     };
     struct engine_cache {
-        std::unordered_map<std::uint64_t, time_point>
-            parts; ///< when this host last sent them, by \ref cache_key
+        std::unordered_map<std::uint64_t, time_point> parts; ///< time last sent, by \ref cache_key
     };
 
     endpoint_load load_of(const std::string& endpoint) const;
