--- a/src/host/entry_host.cpp
+++ b/src/host/entry_host.cpp
@@ -6,21 +6,21 @@
 
 namespace {
 
-constexpr watch_timing config_timing{config_wait, config_gathering};
+constexpr watch_timing config_timing{config_wait, config_batch_delay};
 /// While the store is lost, the configuration's watch alone looks for its return and wakes the others.
-constexpr duration woken_rest = milliseconds(2000);
-constexpr watch_timing endpoint_timing{endpoint_wait, endpoint_gathering, woken_rest};
-constexpr watch_timing rollout_timing{rollout_wait, rollout_gathering, woken_rest};
-constexpr watch_timing evacuation_timing{evacuation_wait, duration::zero(), woken_rest};
+constexpr duration secondary_watch_max_backoff = milliseconds(2000);
+constexpr watch_timing endpoint_timing{endpoint_wait, endpoint_batch_delay, secondary_watch_max_backoff};
+constexpr watch_timing rollout_timing{rollout_wait, rollout_batch_delay, secondary_watch_max_backoff};
+constexpr watch_timing evacuation_timing{evacuation_wait, duration::zero(), secondary_watch_max_backoff};
 constexpr duration gossip_interval = milliseconds(400);
-constexpr duration upkeep_interval = milliseconds(250);
+constexpr duration maintenance_interval = milliseconds(250);
 constexpr duration stop_interval = milliseconds(100);
-constexpr std::size_t most_refused_endpoints = 1000; ///< remembered, so that each is logged once
+constexpr std::size_t max_logged_invalid_endpoints = 1000; ///< remembered, so that each is logged once
 /// Callers keep an answer about this long, so for that time they still come.
 constexpr duration serving_after_stop = milliseconds(3000);
 constexpr duration stop_margin = milliseconds(1000); ///< before the end of the grace period, for slow hosts
 /// Callers take up to 64 addresses. With 16, three hosts in a domain of 19 got no callers.
-constexpr std::size_t most_entries_in_answer = 64;
+constexpr std::size_t max_entries_in_answer = 64;
 
 std::int64_t new_incarnation() {
     return wall_clock_ms();
@@ -76,7 +76,7 @@
                     spread_timing(config_timing, settings.name),
                     {[this](const objects_by_name& objects) { on_config(objects); },
                      [this](time_point as_of) {
-                         heard_store_at_ = monotonic_now();
+                         store_confirmed_at_ = monotonic_now();
                          behind_since_.reset(); // What is held is the newest, whatever its number.
                          if (is_config_readable_) {
                              relay_.state().fence.confirm(as_of);
@@ -109,7 +109,7 @@
       datagrams_{loop, settings.peers,
                  [this](const std::string& from, const std::string& bytes) { on_datagram(from, bytes); }},
       peer_client_{loop} {
-    if (settings.hears_evacuations) {
+    if (settings.evacuations_enabled) {
         watches_.push_back(&evacuation_watch_);
     }
 }
@@ -134,15 +134,15 @@
         watch->start(watch == &config_watch_ ? first_listing::newest : first_listing::lagging);
     }
     loop_.every(gossip_interval, [this] { gossip_round(); });
-    loop_.every(upkeep_interval, [this] {
+    loop_.every(maintenance_interval, [this] {
         flush_log();
         refresh_endpoints();
         assign_sponsored_endpoints(monotonic_now());
         assign_trials(monotonic_now());
-        share_reading();
-        note_who_decides(monotonic_now());
+        update_reading_mode();
+        update_deciding_role(monotonic_now());
         check_freshness();
-        tell_counts_of_settling(monotonic_now());
+        send_counts_while_settling(monotonic_now());
         advance_rollouts();
     });
     gossip_round();
@@ -154,7 +154,7 @@
 
 // Against a host that starts while a domain is evacuated: it would send there until it has read the order.
 bool entry_host::knows_endpoints() const {
-    return endpoint_watch_.is_listed() && (!settings_.hears_evacuations || evacuation_watch_.is_listed());
+    return endpoint_watch_.is_listed() && (!settings_.evacuations_enabled || evacuation_watch_.is_listed());
 }
 
 bool entry_host::is_ready() const {
@@ -163,7 +163,7 @@
 }
 
 std::vector<std::string> entry_host::entries_for_caller(const std::string& domain) const {
-    return entries_for(domain, gossip_.live(monotonic_now()), most_entries_in_answer);
+    return entries_for(domain, gossip_.live(monotonic_now()), max_entries_in_answer);
 }
 
 std::string entry_host::metrics_text() {
@@ -215,7 +215,7 @@
 void entry_host::on_config(const objects_by_name& objects) {
     const auto found = objects.find(codec_.config_name());
     is_config_readable_ = found != objects.end() && apply_config(found->second);
-    note_config_heard(0);
+    note_config_revision(0);
 }
 
 bool entry_host::apply_config(const stored_object& object) {
@@ -237,7 +237,7 @@
     const std::size_t hosts = gossip_.live(monotonic_now()).size();
     relay_.set_routing(std::make_shared<const routing_table>(config), hosts);
     gossip_.set_config_revision(object.revision);
-    tell_copies(notice_scope::change);
+    send_copy_notice(notice_scope::change);
     return true;
 }
 
@@ -246,7 +246,7 @@
     for (const auto& [name, object] : objects) {
         const outcome<endpoint_record> decoded = codec_.endpoint(object);
         if (const error* failure = error_of(decoded)) {
-            note_refused_endpoint(object, failure->message);
+            log_invalid_endpoint(object, failure->message);
             continue;
         }
         listed.push_back(*value_of(decoded));
@@ -254,20 +254,20 @@
     roster_.update(listed, monotonic_now());
     log_info("endpoints_listed", {{"count", listed.size()}, {"lapsed", roster_.has_lapsed()}});
     refresh_endpoints();
-    tell_copies(notice_scope::change);
+    send_copy_notice(notice_scope::change);
 }
 
 // Once for each revision: the list is read anew at every change, of which there are several a second.
-void entry_host::note_refused_endpoint(const stored_object& object, const std::string& remedy) {
-    std::int64_t& logged = refused_endpoints_[object.name];
+void entry_host::log_invalid_endpoint(const stored_object& object, const std::string& remedy) {
+    std::int64_t& logged = logged_invalid_endpoints_[object.name];
     if (logged == object.revision) {
         return;
     }
     logged = object.revision;
     log_error("endpoint_refused",
               {{"endpoint", object.name}, {"revision", object.revision}, {"remedy", remedy}});
-    if (refused_endpoints_.size() > most_refused_endpoints) {
-        refused_endpoints_.clear();
+    if (logged_invalid_endpoints_.size() > max_logged_invalid_endpoints) {
+        logged_invalid_endpoints_.clear();
     }
 }
 
@@ -289,7 +289,7 @@
         relay_.state().endpoints.allowance().set_evacuated(evacuated_, monotonic_now());
         refresh_endpoints();
     }
-    tell_copies(notice_scope::change);
+    send_copy_notice(notice_scope::change);
 }
 
 void entry_host::refresh_endpoints() {
@@ -318,7 +318,7 @@
     gossip_.set_state("leaving");
     const time_point now = monotonic_now();
     (void)gossip_.next_targets(now);
-    const std::string bytes = encode_peer_message(make_news(now));
+    const std::string bytes = encode_peer_message(make_gossip_message(now));
     send_to_others(gossip_.live(now), bytes);
     loop_.every(stop_interval, [this] { advance_stop(); });
 }
--- a/src/host/entry_host.h
+++ b/src/host/entry_host.h
@@ -21,9 +21,9 @@
 constexpr duration evacuation_wait = milliseconds(15000);
 /// After news, before the next call. What is gathered is in force well within the 2 s that a change or a
 /// leaving endpoint may take.
-constexpr duration config_gathering = milliseconds(200);
-constexpr duration endpoint_gathering = milliseconds(250);
-constexpr duration rollout_gathering = milliseconds(300);
+constexpr duration config_batch_delay = milliseconds(200);
+constexpr duration endpoint_batch_delay = milliseconds(250);
+constexpr duration rollout_batch_delay = milliseconds(300);
 
 /** Decodes what the store holds, and encodes what is written there. */
 class object_codec {
@@ -57,7 +57,7 @@
     cascade_settings cascade;
     rollout_settings rollouts;
     mechanisms in_use;
-    bool hears_evacuations = false; ///< operators of this deployment may order some
+    bool evacuations_enabled = false; ///< operators of this deployment may order some
     cold_bound cold;
     std::string cold_sharing = "sponsors"; ///< \see cold_sharing_names
 };
@@ -99,7 +99,7 @@
     void on_config(const objects_by_name& objects);
     bool apply_config(const stored_object& object);
     void on_endpoints(const objects_by_name& objects);
-    void note_refused_endpoint(const stored_object& object, const std::string& remedy);
+    void log_invalid_endpoint(const stored_object& object, const std::string& remedy);
     bool knows_endpoints() const;
     void refresh_endpoints();
     void on_rollouts(const objects_by_name& objects);
@@ -107,49 +107,49 @@
     /** The watches in use, that of the configuration first. */
     const std::vector<object_watch*>& watches() const { return watches_; }
     void on_datagram(const std::string& from, const std::string& bytes);
-    void take(const std::string& from, const peer_news& news);
-    void take(const std::string& from, const freshness_question& question);
-    void take(const std::string& from, const freshness_answer& answer);
-    void take(const std::string& from, const load_news& news);
-    void take(const std::string& from, const session_news& news);
-    void tell_sessions(time_point now);
-    void introduce(const std::string& newcomer, time_point now);
-    void answer_with_missing(const std::string& reader_address, const std::string& reader,
-                             const std::vector<host_beat>& beats, time_point now);
+    void handle(const std::string& from, const gossip_message& news);
+    void handle(const std::string& from, const freshness_question& question);
+    void handle(const std::string& from, const freshness_answer& answer);
+    void handle(const std::string& from, const load_update& news);
+    void handle(const std::string& from, const session_update& news);
+    void send_session_update(time_point now);
+    void send_introduction(const std::string& newcomer, time_point now);
+    void send_missing_statuses(const std::string& recipient_address, const std::string& recipient,
+                             const std::vector<host_heartbeat>& beats, time_point now);
     std::vector<load_entry> own_load() const;
     std::vector<load_entry> take_load_changes();
     void on_load_changed();
     void on_refused(const std::string& endpoint);
-    void tell_refusals();
-    void take(const std::string& from, const refusal_news& news);
-    void take_refusals(const std::vector<refused_endpoint>& refused);
+    void send_refusal_update();
+    void handle(const std::string& from, const refusal_update& news);
+    void merge_refusals(const std::vector<refused_endpoint>& refused);
     std::vector<refused_endpoint> known_refusals(time_point now) const;
     void assign_sponsored_endpoints(time_point now);
     void assign_trials(time_point now);
     void on_crash_news();
-    void tell_crashes();
-    void take(const std::string& from, const crash_news& news);
+    void send_crash_updates();
+    void handle(const std::string& from, const crash_update& news);
     void on_limit_news();
-    void tell_limits();
-    void take(const std::string& from, const limit_news& news);
-    void tell_load();
+    void send_limit_updates();
+    void handle(const std::string& from, const limit_update& news);
+    void send_load_update();
     void gossip_round();
-    peer_news make_news(time_point now);
-    void take(const std::string& from, const copy_notice& notice);
+    gossip_message make_gossip_message(time_point now);
+    void handle(const std::string& from, const copy_notice& notice);
     void check_freshness();
-    void share_reading();
-    reading_view view_of_reading(time_point now) const;
+    void update_reading_mode();
+    reading_inputs current_reading_inputs(time_point now) const;
     bool reads_everything() const { return reading_ == reading_mode::all; }
     bool is_large_fleet(time_point now) const { return gossip_.is_large_fleet(now); }
     enum class notice_scope { change, round };
-    void tell_copies(notice_scope scope);
+    void send_copy_notice(notice_scope scope);
     void send_to_others(const std::vector<host_status>& peers, const std::string& bytes);
-    void take(const std::string& from, const count_news& news);
-    void tell_counts(time_point now);
-    void tell_counts_of_settling(time_point now);
+    void handle(const std::string& from, const count_update& news);
+    void send_counts_when_due(time_point now);
+    void send_counts_while_settling(time_point now);
     void send_counts(const std::vector<release_counts>& counts, time_point now);
-    void tell_decisions(time_point now);
-    void note_who_decides(time_point now);
+    void send_new_decisions(time_point now);
+    void update_deciding_role(time_point now);
     /// What was last served of one kind of object.
     struct encoded_copy {
         std::int64_t since = 0;      ///< revision that the asker held
@@ -159,15 +159,15 @@
     const std::string& copy_since(const object_watch& watch, const std::string& kind, std::int64_t since);
     void serve_copy(const http_request& request, const std::shared_ptr<http_responder>& responder);
     void fetch_copy(const std::string& peer, object_watch& watch, const std::string& kind);
-    void note_config_heard(std::int64_t revision);
+    void note_config_revision(std::int64_t revision);
     void take_copy(object_watch& watch, const std::string& kind, const json& copy);
     void advance_rollouts();
     std::size_t place_among_reporters(time_point now) const;
     void report(const rollout_report& due);
     void write_report(const rollout_order& order, rollout_state state,
                       std::function<void(const store_result<stored_object>&)> done);
-    void hand_over(const rollout_report& due);
-    void take(const std::string& from, const report_handover& errand);
+    void hand_over_report(const rollout_report& due);
+    void handle(const std::string& from, const report_handover& handover);
     void advance_stop();
 
     event_loop& loop_;
@@ -190,33 +190,33 @@
     std::int64_t config_revision_ = 0;             ///< of the configuration in force
     time_point config_since_;                      ///< when that was put in force here
     bool is_config_readable_ = false;              ///< the newest one could be decoded
-    std::map<std::int64_t, time_point> questions_; ///< asked of peers, by nonce
+    std::map<std::int64_t, time_point> open_questions_; ///< asked of peers, by nonce
     std::int64_t last_nonce_ = 0;
     std::uint64_t rounds_ = 0;                  ///< of gossip
     std::optional<time_point> history_gone_at_; ///< when the store last dropped its history
-    bool is_load_to_tell_ = false;
-    bool are_crashes_to_tell_ = false;
-    bool are_limits_to_tell_ = false;
-    std::set<std::string> refusals_to_tell_;             ///< endpoints
-    std::map<std::string, load_entry> told_load_;        ///< what the last load news said, by endpoint
+    bool is_load_update_scheduled_ = false;
+    bool is_crash_update_scheduled_ = false;
+    bool is_limit_update_scheduled_ = false;
+    std::set<std::string> unsent_refusals_;             ///< endpoints
+    std::map<std::string, load_entry> last_sent_load_;        ///< what the last load news said, by endpoint
     bool is_store_lost_ = false;                         ///< the configuration's watch fails
     std::map<std::string, encoded_copy> encoded_copies_; ///< by kind
-    std::set<std::string> fetching_;                     ///< kinds of which a peer's copy is on its way
+    std::set<std::string> fetches_in_flight_;                     ///< kinds of which a peer's copy is on its way
     time_point started_at_;
-    std::int64_t newest_config_heard_ = 0;   ///< revision; of peers or of the store
+    std::int64_t newest_known_config_ = 0;   ///< revision; of peers or of the store
     std::optional<time_point> behind_since_; ///< a newer configuration was heard of than is held
     reading_mode reading_ = reading_mode::listening;
     time_point reading_since_;
-    std::vector<release_counts> told_counts_;   ///< what the last count news said
+    std::vector<release_counts> last_sent_counts_;   ///< what the last count news said
     std::optional<time_point> hears_all_since_; ///< since when the counts of all hosts come here
-    std::vector<rollout_news> told_decisions_;  ///< what all hosts were told last, but for ages
-    std::optional<time_point> heard_store_at_;  ///< when the store last confirmed the configuration here
+    std::vector<rollout_news> last_sent_decisions_;  ///< what all hosts were told last, but for ages
+    std::optional<time_point> store_confirmed_at_;  ///< when the store last confirmed the configuration here
     std::map<std::string, time_point>
         due_since_;                      ///< reports not yet shown by the store, by service and state
-    std::set<std::string> writing_;      ///< services with a write under way
+    std::set<std::string> reports_in_flight_;      ///< services with a write under way
     std::set<std::int64_t> handed_over_; ///< revisions of orders; one goes over once
     std::map<std::string, std::int64_t>
-        refused_endpoints_; ///< revision of the entry that was logged, by name
+        logged_invalid_endpoints_; ///< revision of the entry that was logged, by name
 };
 
 } // namespace laurelhoist
--- a/src/host/entry_host_copies.cpp
+++ b/src/host/entry_host_copies.cpp
@@ -11,21 +11,21 @@
 namespace {
 
 /// A reader must notice the store's return soon, as the others go by it; the others need not.
-constexpr duration readers_rest = milliseconds(250);
-constexpr duration others_rest = milliseconds(2500);
+constexpr duration reader_max_backoff = milliseconds(250);
+constexpr duration non_reader_max_backoff = milliseconds(2500);
 /// Others count a configuration's age from when a reader confirmed it, and keys expire after 5 s.
-constexpr duration config_wait_of_readers = milliseconds(1000);
+constexpr duration reader_config_wait = milliseconds(1000);
 /// A leaving endpoint may still get requests for 3 s or more; the rest is for the way to the last host. With
 /// 0.25 s each change of 200 endpoints costs two calls of its own.
-constexpr duration gathering_of_readers = milliseconds(800);
+constexpr duration reader_batch_delay = milliseconds(800);
 /// Some 100 KB; larger ones take the links of the few hosts that read longer than the store takes for
 /// everybody.
-constexpr std::size_t routes_of_large_config = 300;
-constexpr std::size_t peers_told = 4;
-constexpr std::size_t far_peers_told = 1; ///< of these, in other failure domains
-constexpr duration copy_limit =
+constexpr std::size_t large_config_routes = 300;
+constexpr std::size_t copy_notice_peers = 4;
+constexpr std::size_t copy_notice_peers_in_other_domains = 1; ///< of these, in other failure domains
+constexpr duration copy_timeout =
     milliseconds(400); ///< a cut-off peer must not keep this host from asking another
-constexpr duration longest_way = milliseconds(700); ///< of news from a reading host to the last one
+constexpr duration max_propagation_time = milliseconds(700); ///< of news from a reading host to the last one
 constexpr int status_ok = 200;
 constexpr int status_unavailable = 503;
 
@@ -52,51 +52,51 @@
 
 } // namespace
 
-reading_view entry_host::view_of_reading(time_point now) const {
+reading_inputs entry_host::current_reading_inputs(time_point now) const {
     const std::vector<host_status>& hosts = gossip_.live(now);
-    reading_view view;
-    view.mode = reading_;
-    view.in_mode = now - reading_since_;
-    view.since_start = now - started_at_;
-    view.config_age = relay_.state().fence.age(now);
-    if (view.config_age == duration::max()) {
+    reading_inputs inputs;
+    inputs.mode = reading_;
+    inputs.in_mode = now - reading_since_;
+    inputs.since_start = now - started_at_;
+    inputs.config_age = relay_.state().fence.age(now);
+    if (inputs.config_age == duration::max()) {
         // None has been confirmed yet, and peers will do so once the readers have one. Counted as stale, at a
         // fleet's first start each host went on asking until there was a configuration, and once more when
         // its copy came.
-        view.config_age = now - std::max(heard_store_at_.value_or(started_at_), config_since_);
+        inputs.config_age = now - std::max(store_confirmed_at_.value_or(started_at_), config_since_);
     }
-    view.has_heard_itself = heard_store_at_ && *heard_store_at_ >= reading_since_;
-    view.copy_overdue = behind_since_ ? now - *behind_since_ : duration::zero();
-    view.is_config_large =
-        relay_.state().routing && relay_.state().routing->config().routes.size() > routes_of_large_config;
-    view.holds_copies = std::all_of(watches().begin(), watches().end(),
+    inputs.has_store_answered = store_confirmed_at_ && *store_confirmed_at_ >= reading_since_;
+    inputs.copy_overdue = behind_since_ ? now - *behind_since_ : duration::zero();
+    inputs.is_config_large =
+        relay_.state().routing && relay_.state().routing->config().routes.size() > large_config_routes;
+    inputs.holds_copies = std::all_of(watches().begin(), watches().end(),
                                     [](const object_watch* watch) { return watch->is_listed(); });
-    view.hosts = hosts.size();
-    view.hosts_before = place_among_readers(settings_.name, hosts).overall;
-    return view;
+    inputs.hosts = hosts.size();
+    inputs.hosts_before = find_reader_position(settings_.name, hosts).overall;
+    return inputs;
 }
 
-void entry_host::share_reading() {
+void entry_host::update_reading_mode() {
     const time_point now = monotonic_now();
-    const reading_view view = view_of_reading(now);
-    const reading_mode mode = choose_reading(view);
+    const reading_inputs inputs = current_reading_inputs(now);
+    const reading_mode mode = choose_reading_mode(inputs);
     const bool is_large = is_large_fleet(now);
-    config_watch_.set_wait(is_large ? config_wait_of_readers : config_wait);
-    endpoint_watch_.set_gathering(is_large ? gathering_of_readers : endpoint_gathering);
-    rollout_watch_.set_gathering(is_large ? gathering_of_readers : rollout_gathering);
+    config_watch_.set_wait(is_large ? reader_config_wait : config_wait);
+    endpoint_watch_.set_gathering(is_large ? reader_batch_delay : endpoint_batch_delay);
+    rollout_watch_.set_gathering(is_large ? reader_batch_delay : rollout_batch_delay);
     if (mode == reading_) {
         return;
     }
     reading_ = mode;
     reading_since_ = now;
     log_info("store_reading", {{"reads", to_string(mode)},
-                               {"config_age_ms", std::min(to_ms(view.config_age), 1e9)},
-                               {"hosts", view.hosts},
-                               {"hosts_before", view.hosts_before}});
+                               {"config_age_ms", std::min(to_ms(inputs.config_age), 1e9)},
+                               {"hosts", inputs.hosts},
+                               {"hosts_before", inputs.hosts_before}});
     if (mode == reading_mode::copies) {
         roster_.on_reading_ended();
     }
-    config_watch_.set_longest_rest(mode == reading_mode::all ? readers_rest : others_rest);
+    config_watch_.set_longest_rest(mode == reading_mode::all ? reader_max_backoff : non_reader_max_backoff);
     for (object_watch* watch : watches()) {
         const bool is_wanted = watch == &config_watch_ && mode != reading_mode::copies;
         if (mode == reading_mode::all || is_wanted) {
@@ -107,7 +107,7 @@
     }
 }
 
-void entry_host::tell_copies(notice_scope scope) {
+void entry_host::send_copy_notice(notice_scope scope) {
     const time_point now = monotonic_now();
     if (!is_large_fleet(now)) {
         return;
@@ -117,22 +117,22 @@
     // From hand to hand alone, news of 112 endpoints that left at once took 1.3 s to the last host, and
     // requests went to them meanwhile.
     send_to_others(scope == notice_scope::change
-                       ? told_at_once(settings_.name, reads_everything(), gossip_.live(now))
-                       : gossip_.mostly_near_peers(peers_told - far_peers_told, far_peers_told, now),
+                       ? change_notice_targets(settings_.name, reads_everything(), gossip_.live(now))
+                       : gossip_.random_peers_by_domain(copy_notice_peers - copy_notice_peers_in_other_domains, copy_notice_peers_in_other_domains, now),
                    encode_peer_message(notice));
 }
 
-void entry_host::note_config_heard(std::int64_t revision) {
-    newest_config_heard_ = std::max(newest_config_heard_, revision);
-    if (config_watch_.changed_at() >= newest_config_heard_) {
+void entry_host::note_config_revision(std::int64_t revision) {
+    newest_known_config_ = std::max(newest_known_config_, revision);
+    if (config_watch_.changed_at() >= newest_known_config_) {
         behind_since_.reset();
     } else if (!behind_since_) {
         behind_since_ = monotonic_now();
     }
 }
 
-void entry_host::take(const std::string& from, const copy_notice& notice) {
-    note_config_heard(notice.config_revision);
+void entry_host::handle(const std::string& from, const copy_notice& notice) {
+    note_config_revision(notice.config_revision);
     if (reads_everything()) {
         return; // It hears of changes itself, and at first hand.
     }
@@ -174,17 +174,17 @@
 
 void entry_host::fetch_copy(const std::string& peer, object_watch& watch, const std::string& kind) {
     const outcome<socket_address> address = parse_address(peer);
-    if (value_of(address) == nullptr || !fetching_.insert(kind).second) {
+    if (value_of(address) == nullptr || !fetches_in_flight_.insert(kind).second) {
         return;
     }
     http_call call;
     call.address = *value_of(address);
     call.target = "/copy?kind=" + kind + "&since=" + std::to_string(watch.changed_at());
-    call.timeout = copy_limit;
-    call.connect_timeout = copy_limit / 2;
+    call.timeout = copy_timeout;
+    call.connect_timeout = copy_timeout / 2;
     call.is_large = true;
     peer_client_.send(call, [this, peer, kind, &watch](const http_answer& answer) {
-        fetching_.erase(kind);
+        fetches_in_flight_.erase(kind);
         const json copy = json::from_cbor(answer.body, true, false);
         if (answer.what != http_answer::result::answered || answer.status != status_ok || !copy.is_object()) {
             log_warning("peer_copy_unavailable", {{"peer", peer}, {"kind", kind}});
@@ -211,7 +211,7 @@
     // Endpoints that lapsed in an outage are kept here as long as there, less what the copy may have been
     // under way: told as a length of time from now, every hand would pass it on afresh, and none would ever
     // be dropped.
-    const duration grace = milliseconds(static_cast<std::int64_t>(copy.value("grace_ms", 0.0))) - longest_way;
+    const duration grace = milliseconds(static_cast<std::int64_t>(copy.value("grace_ms", 0.0))) - max_propagation_time;
     roster_.keep_lapsed_until(monotonic_now() + grace);
     const std::int64_t revision = copy.value("revision", std::int64_t{0});
     if (watch.take_copy(std::move(objects), revision)) {
--- a/src/host/peer_messages.h
+++ b/src/host/peer_messages.h
@@ -28,18 +28,18 @@
 LAUREL_VALUE_TYPE(refused_endpoint, endpoint, age_ms)
 
 /** What a host tells a few others, a few times a second. */
-struct peer_news {
+struct gossip_message {
     std::vector<host_status> statuses; ///< the sender's first
     std::vector<load_entry> load;
     std::vector<release_counts> counts;
     std::vector<rollout_news> rollouts;
-    std::string beats{};   ///< \ref encode_beats
+    std::string beats{};   ///< \ref encode_heartbeats
     bool is_round = false; ///< part of a round: the beats are of all that the sender knows
     std::vector<refused_endpoint> refused{};
     std::vector<crash_notice> crashes{}; ///< \ref crash_quarantine::known
     std::vector<limit_notice> limits{};  ///< \ref rate_limits::next_known
 };
-LAUREL_VALUE_TYPE(peer_news, statuses, load, counts, rollouts, beats, is_round, refused, crashes, limits)
+LAUREL_VALUE_TYPE(gossip_message, statuses, load, counts, rollouts, beats, is_round, refused, crashes, limits)
 
 /** Asks a peer how recently it knows its configuration to be the newest. */
 struct freshness_question {
@@ -56,12 +56,12 @@
 LAUREL_VALUE_TYPE(freshness_answer, nonce, config_revision, age_us)
 
 /** Work in flight at the endpoints, by the sender, as far as it has changed since the message before; all of
- * it comes with \ref peer_news. */
-struct load_news {
+ * it comes with \ref gossip_message. */
+struct load_update {
     std::string sender;
     std::vector<load_entry> load;
 };
-LAUREL_VALUE_TYPE(load_news, sender, load)
+LAUREL_VALUE_TYPE(load_update, sender, load)
 
 /** Says how new the sender's copies of the store are; whoever holds older ones asks the sender for them. */
 struct copy_notice {
@@ -73,23 +73,23 @@
 LAUREL_VALUE_TYPE(copy_notice, config_revision, endpoint_revision, rollout_revision, evacuation_revision)
 
 /** Says which sessions the sender has served on an old release lately. */
-struct session_news {
+struct session_update {
     std::vector<session_use> uses;
 };
-LAUREL_VALUE_TYPE(session_news, uses)
+LAUREL_VALUE_TYPE(session_update, uses)
 
 /** What a host of a large fleet has seen of releases, for those that decide on roll-outs. */
-struct count_news {
+struct count_update {
     std::string reporter; ///< name and incarnation of the sender
     std::vector<release_counts> counts;
 };
-LAUREL_VALUE_TYPE(count_news, reporter, counts)
+LAUREL_VALUE_TYPE(count_update, reporter, counts)
 
 /** Endpoints that were found to have ended: when they are back they are cold. */
-struct refusal_news {
+struct refusal_update {
     std::vector<refused_endpoint> refused;
 };
-LAUREL_VALUE_TYPE(refusal_news, refused)
+LAUREL_VALUE_TYPE(refusal_update, refused)
 
 /** A report on a roll-out that the sender, which decides, cannot write: the store does not serve it. */
 struct report_handover {
@@ -101,20 +101,20 @@
 LAUREL_VALUE_TYPE(report_handover, service, release, state, revision)
 
 /** Requests under which endpoints ended, as soon as it is known. */
-struct crash_news {
+struct crash_update {
     std::vector<crash_notice> crashes;
 };
-LAUREL_VALUE_TYPE(crash_news, crashes)
+LAUREL_VALUE_TYPE(crash_update, crashes)
 
 /** Limits of endpoints, as soon as an answer has named or lifted them. */
-struct limit_news {
+struct limit_update {
     std::vector<limit_notice> limits;
 };
-LAUREL_VALUE_TYPE(limit_news, limits)
+LAUREL_VALUE_TYPE(limit_update, limits)
 
 using peer_message =
-    std::variant<peer_news, freshness_question, freshness_answer, copy_notice, load_news, session_news,
-                 count_news, refusal_news, report_handover, crash_news, limit_news>;
+    std::variant<gossip_message, freshness_question, freshness_answer, copy_notice, load_update, session_update,
+                 count_update, refusal_update, report_handover, crash_update, limit_update>;
 
 /** \return the bytes of \p message. */
 std::string encode_peer_message(const peer_message& message);
--- a/src/membership/endpoint_roster.h
+++ b/src/membership/endpoint_roster.h
@@ -4,10 +4,10 @@
  * An endpoint that is missing from the list has left and gets nothing new. The exception: while the store is
  * away, registrations lapse although their endpoints live, and they return within about two seconds of it.
  * Taken at its word, a store that comes back would empty the list and turn every caller away. So an endpoint
- * that vanishes during an outage or within \ref return_time after it is kept for that long.
+ * that vanishes during an outage or within \ref reregistration_time after it is kept for that long.
  *
  * An endpoint may start again under its name. A write of its earlier process that took effect late would then
- * say that it is leaving, or where it was: for \ref late_entry_life such an entry changes nothing.
+ * say that it is leaving, or where it was: for \ref stale_entry_timeout such an entry changes nothing.
  */
 #pragma once
 
@@ -19,10 +19,10 @@
 namespace laurelhoist {
 
 /// Registrations that lapsed during an outage are back this long after it (the platform's promise).
-constexpr duration return_time = milliseconds(2000);
+constexpr duration reregistration_time = milliseconds(2000);
 /// Endpoints write their entry about every 1.2 s: what an earlier process left in their place is gone by
 /// then. An entry that stays is true: the time of day has jumped back between the two starts.
-constexpr duration late_entry_life = milliseconds(1500);
+constexpr duration stale_entry_timeout = milliseconds(1500);
 
 class endpoint_roster {
 public:
@@ -46,15 +46,15 @@
 private:
     bool is_in_grace(time_point now) const;
 
-    /// An entry that names an earlier start than the one that is believed.
-    struct late_entry {
+    /// An entry that names an earlier start than the one that is resolve_stale_entry.
+    struct stale_entry {
         endpoint_record record;
         time_point since;
     };
-    endpoint_record believed(const endpoint_record& listed, time_point now);
+    endpoint_record resolve_stale_entry(const endpoint_record& listed, time_point now);
 
     std::vector<endpoint_record> listed_;
-    std::map<std::string, late_entry> late_; ///< by name
+    std::map<std::string, stale_entry> stale_entries_; ///< by name
     std::vector<endpoint_record> lapsed_;
     bool is_store_lost_ = false;
     std::optional<time_point> regained_at_;
--- a/src/membership/entry_directory.cpp
+++ b/src/membership/entry_directory.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 struct ranked_entry {
-    std::size_t round = 0;
+    std::size_t domain_rank = 0;
     std::uint64_t score = 0;
     const entry_record* entry = nullptr;
 };
@@ -26,10 +26,10 @@
     std::sort(ranked.begin(), ranked.end(), [](const auto& l, const auto& r) { return l.score < r.score; });
     std::map<std::string, std::size_t> taken;
     for (ranked_entry& candidate : ranked) {
-        candidate.round = taken[candidate.entry->domain]++;
+        candidate.domain_rank = taken[candidate.entry->domain]++;
     }
     std::sort(ranked.begin(), ranked.end(), [](const ranked_entry& l, const ranked_entry& r) {
-        return std::tie(l.round, l.score) < std::tie(r.round, r.score);
+        return std::tie(l.domain_rank, l.score) < std::tie(r.domain_rank, r.score);
     });
     std::vector<entry_choice> choices;
     for (const ranked_entry& candidate : ranked) {
--- a/src/membership/host_list.cpp
+++ b/src/membership/host_list.cpp
@@ -9,7 +9,7 @@
 
 struct scored_endpoint {
     std::uint64_t score = 0;
-    std::size_t round = 0; ///< rank within its failure domain
+    std::size_t domain_rank = 0; ///< rank within its failure domain
     const endpoint_record* endpoint = nullptr;
 };
 
@@ -23,7 +23,7 @@
     std::sort(scored.begin(), scored.end(), [](const auto& l, const auto& r) { return l.score < r.score; });
     std::map<std::string, std::size_t> taken;
     for (scored_endpoint& candidate : scored) {
-        candidate.round = taken[candidate.endpoint->domain]++;
+        candidate.domain_rank = taken[candidate.endpoint->domain]++;
     }
     return scored;
 }
@@ -41,7 +41,7 @@
     }
     std::vector<scored_endpoint> ranked = rank_by_domain(entry, endpoints);
     std::sort(ranked.begin(), ranked.end(), [](const scored_endpoint& l, const scored_endpoint& r) {
-        return std::tie(l.round, l.score) < std::tie(r.round, r.score);
+        return std::tie(l.domain_rank, l.score) < std::tie(r.domain_rank, r.score);
     });
     std::vector<endpoint_record> subset;
     for (std::size_t i = 0; i < size; ++i) {
--- a/src/membership/revision_evidence.cpp
+++ b/src/membership/revision_evidence.cpp
@@ -21,7 +21,7 @@
                                                             const std::vector<steward_record>& list) const {
     std::vector<time_point> answered;
     for (const steward_record& steward : list) {
-        if (steward.incarnation == own_) {
+        if (steward.incarnation == own_incarnation_) {
             answered.push_back(now);
             continue;
         }
@@ -53,7 +53,7 @@
 std::size_t revision_evidence::holders(std::int64_t revision, std::int64_t own_revision,
                                        const std::vector<steward_record>& list) const {
     return static_cast<std::size_t>(std::count_if(list.begin(), list.end(), [&](const steward_record& s) {
-        if (s.incarnation == own_) {
+        if (s.incarnation == own_incarnation_) {
             return own_revision >= revision;
         }
         const auto found = peers_.find(s.incarnation);
--- a/src/membership/revision_evidence.h
+++ b/src/membership/revision_evidence.h
@@ -17,7 +17,7 @@
 /** What one steward knows about the latest revision. */
 class revision_evidence {
 public:
-    explicit revision_evidence(std::string own_incarnation) : own_{std::move(own_incarnation)} {}
+    explicit revision_evidence(std::string own_incarnation) : own_incarnation_{std::move(own_incarnation)} {}
 
     /** Notes a read of the head. \param asked_at when the read was sent */
     void on_platform_read(time_point asked_at, std::int64_t revision);
@@ -41,7 +41,7 @@
     };
     std::optional<time_point> majority_as_of(time_point now, const std::vector<steward_record>& list) const;
 
-    std::string own_;
+    std::string own_incarnation_;
     std::optional<time_point> platform_as_of_;
     std::map<std::string, peer_answer> peers_;
     std::int64_t known_revision_ = 0;
--- a/src/membership/store_reading.cpp
+++ b/src/membership/store_reading.cpp
@@ -7,30 +7,30 @@
 
 namespace {
 
-constexpr duration reading_after_start = milliseconds(1500); ///< unless the other hosts are known before
+constexpr duration max_initial_reading_time = milliseconds(1500); ///< unless the other hosts are known before
 /// In which the hosts of a fleet that starts as a whole hear of one another, so that few take themselves for
 /// readers; one that starts among others hears of them within 50 ms.
 constexpr duration listening_time = milliseconds(1000);
 /// Without confirmation, before keys expire after 5 s. Readers confirm theirs every second, and peers pass
 /// that on within another one and a half.
-constexpr duration own_reading_after = milliseconds(3400);
+constexpr duration max_unconfirmed_time = milliseconds(3400);
 /// For each host that comes before in the order of readers. A peer that was answered vouches for the others
 /// within three quarters of a second, in which sixty hosts more have asked.
-constexpr duration own_reading_spacing = milliseconds(12);
+constexpr duration confirmation_stagger = milliseconds(12);
 /// A host that the store answers while the readers are turned away looks at everything once; the calls that
 /// it has under way at the end of this go on waiting for news. With 4 s, hosts that were stale for a moment
 /// made 1,700 calls more in 48 s.
-constexpr duration reading_for_others = milliseconds(500);
+constexpr duration reading_for_others_time = milliseconds(500);
 /// Of the hosts that the store answers after an outage, those that look at everything: enough that some are
 /// served where it turns most away. To look at everything takes each of them some four calls.
-constexpr std::size_t most_reading_for_others = 48;
+constexpr std::size_t max_hosts_reading_for_others = 48;
 /// A usual configuration comes from a peer within 100 ms. One of 1,800 routes (0.5 MB) that fifty hosts ask
 /// of six takes seconds over links of 10 Mbit/s; the store gives it at once. With 300 ms, 55 of 74 hosts
 /// asked the store at each change: on hosts with an eighth of a core copies take that long now and then.
-constexpr duration most_copy_delay = milliseconds(500);
+constexpr duration max_copy_delay = milliseconds(500);
 /// Any one may be lost, together with its failure domain. Each more costs a call for every change of an
 /// endpoint.
-constexpr std::size_t readers_of_large_fleet = 2;
+constexpr std::size_t large_fleet_readers = 2;
 
 /// A host that may read, and its place within its domain.
 struct candidate {
@@ -82,7 +82,7 @@
     return "unknown";
 }
 
-reader_place place_among_readers(const std::string& name, const std::vector<host_status>& hosts) {
+reader_position find_reader_position(const std::string& name, const std::vector<host_status>& hosts) {
     const std::vector<candidate> order = reader_order(hosts, name);
     const auto found = std::find_if(order.begin(), order.end(),
                                     [&](const candidate& each) { return each.host->name == name; });
@@ -92,64 +92,64 @@
     return {found->in_domain, static_cast<std::size_t>(found - order.begin())};
 }
 
-std::vector<host_status> relays_among(const std::vector<host_status>& hosts) {
+std::vector<host_status> select_relays(const std::vector<host_status>& hosts) {
     std::vector<host_status> relays;
     for (const candidate& each : reader_order(hosts, "")) {
-        if (each.in_domain < relays_of_domain) {
+        if (each.in_domain < relays_per_domain) {
             relays.push_back(*each.host);
         }
     }
     return relays;
 }
 
-std::vector<host_status> readers_among(const std::vector<host_status>& hosts) {
-    std::vector<host_status> readers = relays_among(hosts);
-    readers.resize(std::min(readers.size(), readers_of_large_fleet));
+std::vector<host_status> select_readers(const std::vector<host_status>& hosts) {
+    std::vector<host_status> readers = select_relays(hosts);
+    readers.resize(std::min(readers.size(), large_fleet_readers));
     return readers;
 }
 
-std::vector<host_status> told_at_once(const std::string& name, bool is_reader,
+std::vector<host_status> change_notice_targets(const std::string& name, bool is_reader,
                                       const std::vector<host_status>& hosts) {
     const std::vector<candidate> order = reader_order(hosts, name);
     const auto own = std::find_if(order.begin(), order.end(),
                                   [&](const candidate& each) { return each.host->name == name; });
-    std::vector<host_status> told;
+    std::vector<host_status> targets;
     if (own == order.end()) {
-        return told;
+        return targets;
     }
-    const std::size_t first = own->in_domain * hosts_told_at_once + 1;
+    const std::size_t first = own->in_domain * change_notice_fanout + 1;
     for (const candidate& each : order) {
         const bool is_next = each.host->domain == own->host->domain && each.in_domain >= first &&
-                             each.in_domain < first + hosts_told_at_once;
-        const bool is_relay = is_reader && each.in_domain < relays_of_domain;
+                             each.in_domain < first + change_notice_fanout;
+        const bool is_relay = is_reader && each.in_domain < relays_per_domain;
         if ((is_next || is_relay) && each.host->name != name) {
-            told.push_back(*each.host);
+            targets.push_back(*each.host);
         }
     }
-    return told;
+    return targets;
 }
 
-reading_mode choose_reading(const reading_view& view) {
-    if (view.mode == reading_mode::listening && view.since_start < listening_time) {
+reading_mode choose_reading_mode(const reading_inputs& inputs) {
+    if (inputs.mode == reading_mode::listening && inputs.since_start < listening_time) {
         return reading_mode::listening;
     }
-    const bool is_reader = view.hosts <= hosts_of_small_fleet || view.hosts_before < readers_of_large_fleet;
-    const bool knows_too_little = view.since_start < reading_after_start && !view.holds_copies;
-    if (is_reader || knows_too_little) {
+    const bool is_reader = inputs.hosts <= max_small_fleet_hosts || inputs.hosts_before < large_fleet_readers;
+    const bool is_still_starting = inputs.since_start < max_initial_reading_time && !inputs.holds_copies;
+    if (is_reader || is_still_starting) {
         return reading_mode::all;
     }
-    const bool reads_for_others = view.hosts_before < most_reading_for_others;
-    if (view.mode == reading_mode::confirming && view.has_heard_itself && reads_for_others) {
+    const bool reads_for_others = inputs.hosts_before < max_hosts_reading_for_others;
+    if (inputs.mode == reading_mode::confirming && inputs.has_store_answered && reads_for_others) {
         return reading_mode::all;
     }
-    if (view.mode == reading_mode::all && view.has_heard_itself && view.in_mode < reading_for_others) {
+    if (inputs.mode == reading_mode::all && inputs.has_store_answered && inputs.in_mode < reading_for_others_time) {
         return reading_mode::all;
     }
-    if (view.config_age > own_reading_after + own_reading_spacing * view.hosts_before) {
+    if (inputs.config_age > max_unconfirmed_time + confirmation_stagger * inputs.hosts_before) {
         return reading_mode::confirming;
     }
-    const duration patience = view.is_config_large ? duration::zero() : most_copy_delay;
-    return view.copy_overdue > patience ? reading_mode::fetching : reading_mode::copies;
+    const duration allowed_delay = inputs.is_config_large ? duration::zero() : max_copy_delay;
+    return inputs.copy_overdue > allowed_delay ? reading_mode::fetching : reading_mode::copies;
 }
 
 } // namespace laurelhoist
--- a/src/membership/store_reading.h
+++ b/src/membership/store_reading.h
@@ -29,7 +29,7 @@
 const char* to_string(reading_mode mode);
 
 /** What the choice rests on. */
-struct reading_view {
+struct reading_inputs {
     reading_mode mode = reading_mode::all;
     duration in_mode{};            ///< since it was chosen
     duration since_start{};        ///< of the process
@@ -37,31 +37,31 @@
     duration copy_overdue{};       ///< since a configuration was heard of that is newer than the one held
     bool is_config_large = false;  ///< too large for the links of the hosts that read
     bool holds_copies = false;     ///< has read or been given all kinds of object
-    bool has_heard_itself = false; ///< the store has answered this host since the mode was chosen
+    bool has_store_answered = false; ///< the store has answered this host since the mode was chosen
     std::size_t hosts = 1;         ///< live ones, this one included
     std::size_t hosts_before = 0;  ///< that come before this one in the order of readers
 };
 
 /// Hosts of each failure domain that the readers tell of a change; one may be lost.
-constexpr std::size_t relays_of_domain = 2;
+constexpr std::size_t relays_per_domain = 2;
 /// Hosts that one host tells of a change at once. Each asks for a copy, of up to 80 KB when a release brings
 /// 190 endpoints: four of them take a link of 20 Mbit/s an eighth of a second.
-constexpr std::size_t hosts_told_at_once = 4;
+constexpr std::size_t change_notice_fanout = 4;
 
 /** Where a host stands in the order of readers. It begins with one host of each failure domain, so that what
  * takes one domain away leaves a reader. */
-struct reader_place {
+struct reader_position {
     std::size_t in_domain = 0; ///< hosts of its own domain that come before it
     std::size_t overall = 0;   ///< hosts that come before it
 };
-LAUREL_VALUE_TYPE(reader_place, in_domain, overall)
+LAUREL_VALUE_TYPE(reader_position, in_domain, overall)
 
 /** \return the place of the host \p name among \p hosts. */
-reader_place place_among_readers(const std::string& name, const std::vector<host_status>& hosts);
+reader_position find_reader_position(const std::string& name, const std::vector<host_status>& hosts);
 /** \return the relays of all domains, in the order of readers. */
-std::vector<host_status> relays_among(const std::vector<host_status>& hosts);
+std::vector<host_status> select_relays(const std::vector<host_status>& hosts);
 /** \return the hosts that read, of a large fleet. */
-std::vector<host_status> readers_among(const std::vector<host_status>& hosts);
+std::vector<host_status> select_readers(const std::vector<host_status>& hosts);
 
 /** Whom the host \p name tells at once of a change: the hosts of a failure domain tell one another as a tree,
  * in the order of readers; a reader tells the relays as well.
@@ -70,11 +70,11 @@
  * sixteen copies or more each, on an eighth of a core and 20 Mbit/s, and for 2.5 s passed on requests after
  * their callers had left.
  *
- * \return at most \ref hosts_told_at_once, of a reader the relays besides */
-std::vector<host_status> told_at_once(const std::string& name, bool is_reader,
+ * \return at most \ref change_notice_fanout, of a reader the relays besides */
+std::vector<host_status> change_notice_targets(const std::string& name, bool is_reader,
                                       const std::vector<host_status>& hosts);
 
 /** \return what this host reads from now on. */
-reading_mode choose_reading(const reading_view& view);
+reading_mode choose_reading_mode(const reading_inputs& inputs);
 
 } // namespace laurelhoist
--- a/test/membership_test.cpp
+++ b/test/membership_test.cpp
@@ -11,7 +11,7 @@
 
 const time_point begin{seconds(100)};
 
-std::vector<endpoint_record> endpoints_over(int count, int domains) {
+std::vector<endpoint_record> make_endpoints(int count, int domains) {
     std::vector<endpoint_record> all;
     for (int i = 0; i < count; ++i) {
         all.push_back({"e" + std::to_string(i), "", "d" + std::to_string(i % domains), "pool", "live"});
@@ -101,7 +101,7 @@
     const auto domains = *rc::gen::inRange(1, 10);
     const auto count = *rc::gen::inRange(domains, 200);
     const auto size = *rc::gen::inRange<std::size_t>(1, 40);
-    const std::vector<endpoint_record> all = endpoints_over(count, domains);
+    const std::vector<endpoint_record> all = make_endpoints(count, domains);
     const std::vector<endpoint_record> subset = choose_subset("entry-7", all, size);
     RC_ASSERT(subset.size() == std::min(size, all.size()));
     RC_ASSERT(subset == choose_subset("entry-7", all, size));
@@ -117,7 +117,7 @@
 }
 
 TEST(host_list, subsets_share_out_the_endpoints) {
-    const std::vector<endpoint_record> all = endpoints_over(6100, 9);
+    const std::vector<endpoint_record> all = make_endpoints(6100, 9);
     std::map<std::string, int> users;
     for (int entry = 0; entry < 400; ++entry) {
         for (const endpoint_record& endpoint : choose_subset("entry-" + std::to_string(entry), all, 64)) {
@@ -138,13 +138,13 @@
         entries.push_back({"e" + std::to_string(i), "", "a" + std::to_string(i), "d" + std::to_string(i % 4),
                            "serving", 1});
     }
-    std::vector<entry_record> fewer = entries;
-    fewer[2].state = "leaving";
+    std::vector<entry_record> with_leaving = entries;
+    with_leaving[2].state = "leaving";
     int moved = 0;
     for (int i = 0; i < 500; ++i) {
         const std::string session = "s" + std::to_string(i);
         const std::vector<entry_choice> before = choose_entries(session, entries, 3);
-        const std::vector<entry_choice> after = choose_entries(session, fewer, 3);
+        const std::vector<entry_choice> after = choose_entries(session, with_leaving, 3);
         ASSERT_EQ(before.size(), 3U);
         EXPECT_NE(before[0].domain, before[1].domain);
         EXPECT_NE(after[0].address, "a2");
@@ -159,15 +159,15 @@
 namespace laurelhoist {
 namespace {
 
-endpoint_record live_endpoint(const std::string& name) {
+endpoint_record make_live_endpoint(const std::string& name) {
     return {name, "10.0.0.1:80", "d1", "pool", "live", "v1"};
 }
 
 TEST(endpoint_roster, an_endpoint_that_is_no_longer_listed_has_left) {
     endpoint_roster roster;
     const time_point now = time_point{} + seconds(50);
-    roster.update({live_endpoint("a"), live_endpoint("b")}, now);
-    roster.update({live_endpoint("a")}, now);
+    roster.update({make_live_endpoint("a"), make_live_endpoint("b")}, now);
+    roster.update({make_live_endpoint("a")}, now);
     EXPECT_EQ(roster.current(now).size(), 1U);
 }
 
@@ -177,7 +177,7 @@
 TEST(endpoint_roster, a_late_entry_of_an_earlier_process_changes_nothing) {
     endpoint_roster roster;
     const time_point now{seconds(10)};
-    endpoint_record first = live_endpoint("a");
+    endpoint_record first = make_live_endpoint("a");
     first.started_at_ms = 1000;
     endpoint_record second = first;
     second.started_at_ms = 9000;
@@ -197,7 +197,7 @@
 TEST(endpoint_roster, an_earlier_start_that_stays_is_believed) {
     endpoint_roster roster;
     const time_point now{seconds(10)};
-    endpoint_record first = live_endpoint("a");
+    endpoint_record first = make_live_endpoint("a");
     first.started_at_ms = 9000;
     endpoint_record second = first;
     second.started_at_ms = 8000;
@@ -213,12 +213,12 @@
 TEST(endpoint_roster, registrations_that_lapsed_in_an_outage_are_kept_until_they_could_be_back) {
     endpoint_roster roster;
     const time_point now = time_point{} + seconds(50);
-    roster.update({live_endpoint("a"), live_endpoint("b")}, now);
+    roster.update({make_live_endpoint("a"), make_live_endpoint("b")}, now);
     roster.on_store_lost();
     roster.on_store_regained(now + seconds(5));
     roster.update({}, now + seconds(5));
     EXPECT_EQ(roster.current(now + seconds(5)).size(), 2U);
-    roster.update({live_endpoint("a")}, now + seconds(6));
+    roster.update({make_live_endpoint("a")}, now + seconds(6));
     EXPECT_EQ(roster.current(now + seconds(6)).size(), 2U);
     const auto after = roster.current(now + milliseconds(7100));
     ASSERT_EQ(after.size(), 1U);
@@ -231,8 +231,8 @@
 TEST(endpoint_roster, what_hosts_pass_on_to_one_another_comes_to_an_end) {
     endpoint_roster rosters[2];
     time_point now = time_point{} + seconds(50);
-    rosters[0].update({live_endpoint("a")}, now);
-    rosters[1].update({live_endpoint("a")}, now);
+    rosters[0].update({make_live_endpoint("a")}, now);
+    rosters[1].update({make_live_endpoint("a")}, now);
     rosters[0].on_store_lost();
     rosters[0].on_store_regained(now);
     for (int turn = 0; turn < 20; ++turn) {
@@ -252,7 +252,7 @@
 TEST(endpoint_roster, a_host_that_goes_by_copies_again_keeps_nothing) {
     endpoint_roster roster;
     const time_point now = time_point{} + seconds(50);
-    roster.update({live_endpoint("a")}, now);
+    roster.update({make_live_endpoint("a")}, now);
     roster.on_store_lost();
     roster.on_reading_ended();
     roster.update({}, now + seconds(3));
@@ -262,7 +262,7 @@
 TEST(endpoint_roster, one_that_said_it_was_leaving_is_not_kept) {
     endpoint_roster roster;
     const time_point now = time_point{} + seconds(50);
-    endpoint_record leaving = live_endpoint("a");
+    endpoint_record leaving = make_live_endpoint("a");
     leaving.state = "leaving";
     roster.update({leaving}, now);
     roster.on_store_lost();
@@ -271,7 +271,7 @@
     EXPECT_TRUE(roster.current(now).empty());
 }
 
-host_status status_of(const std::string& name, std::int64_t beat, const std::string& domain = "d1") {
+host_status make_status(const std::string& name, std::int64_t beat, const std::string& domain = "d1") {
     host_status status;
     status.name = name;
     status.gossip_address = name + ":1";
@@ -284,26 +284,26 @@
 }
 
 TEST(host_gossip, a_host_is_alive_while_its_beat_rises) {
-    host_gossip gossip(status_of("a", 0), 1);
+    host_gossip gossip(make_status("a", 0), 1);
     const time_point now = time_point{} + seconds(50);
-    gossip.take({status_of("b", 1)}, now);
+    gossip.merge({make_status("b", 1)}, now);
     EXPECT_EQ(gossip.live(now).size(), 2U);
-    gossip.take({status_of("b", 1)}, now + seconds(2));
+    gossip.merge({make_status("b", 1)}, now + seconds(2));
     EXPECT_EQ(gossip.live(now + seconds(3)).size(), 1U)
         << "an old beat that is passed on again is no sign of life";
-    gossip.take({status_of("b", 2)}, now + seconds(3));
+    gossip.merge({make_status("b", 2)}, now + seconds(3));
     EXPECT_EQ(gossip.live(now + seconds(3)).size(), 2U);
 }
 
 TEST(host_gossip, a_restarted_host_goes_before_its_former_self) {
-    host_gossip gossip(status_of("a", 0), 1);
+    host_gossip gossip(make_status("a", 0), 1);
     const time_point now = time_point{} + seconds(50);
-    gossip.take({status_of("b", 900)}, now);
-    host_status restarted = status_of("b", 1);
+    gossip.merge({make_status("b", 900)}, now);
+    host_status restarted = make_status("b", 1);
     restarted.incarnation = 2;
     restarted.state = "starting";
-    gossip.take({restarted}, now);
-    gossip.take({status_of("b", 901)}, now);
+    gossip.merge({restarted}, now);
+    gossip.merge({make_status("b", 901)}, now);
     EXPECT_EQ(gossip.live(now).back().state, "starting");
 }
 
@@ -311,7 +311,7 @@
     const int count = *rc::gen::inRange(2, 30);
     std::vector<std::unique_ptr<host_gossip>> hosts;
     for (int i = 0; i < count; ++i) {
-        hosts.push_back(std::make_unique<host_gossip>(status_of("h" + std::to_string(i), 0), i + 1));
+        hosts.push_back(std::make_unique<host_gossip>(make_status("h" + std::to_string(i), 0), i + 1));
         hosts.back()->set_seeds({"h0:1"});
     }
     time_point now = time_point{} + seconds(50);
@@ -321,7 +321,7 @@
         for (auto& host : hosts) {
             for (const std::string& target : host->next_targets(now)) {
                 const auto index = static_cast<std::size_t>(std::stoi(target.substr(1)));
-                hosts[index]->take(host->statuses_to_send(now), now);
+                hosts[index]->merge(host->statuses_to_send(now), now);
             }
         }
     }
@@ -331,15 +331,15 @@
 }
 
 TEST(entries_for, prefers_the_callers_own_domain_if_it_has_two) {
-    const std::vector<host_status> hosts = {status_of("a", 1, "d1"), status_of("b", 1, "d1"),
-                                            status_of("c", 1, "d2")};
+    const std::vector<host_status> hosts = {make_status("a", 1, "d1"), make_status("b", 1, "d1"),
+                                            make_status("c", 1, "d2")};
     EXPECT_EQ(entries_for("d1", hosts, 16), std::vector<std::string>({"a:2", "b:2"}));
     EXPECT_EQ(entries_for("d2", hosts, 16).size(), 3U);
     EXPECT_EQ(entries_for("elsewhere", hosts, 2).size(), 2U);
 }
 
 TEST(entries_for, a_host_that_stops_is_out_at_once) {
-    std::vector<host_status> hosts = {status_of("a", 1), status_of("b", 1)};
+    std::vector<host_status> hosts = {make_status("a", 1), make_status("b", 1)};
     hosts.front().state = "leaving";
     EXPECT_EQ(entries_for("d1", hosts, 16), std::vector<std::string>({"b:2"}));
 }
@@ -348,15 +348,15 @@
 namespace {
 
 /** One of 74 hosts, long started, that goes by copies which are up to date. */
-reading_view view_of_one_among_many() {
-    reading_view view;
-    view.mode = reading_mode::copies;
-    view.in_mode = seconds(30);
-    view.since_start = seconds(60);
-    view.config_age = milliseconds(900);
-    view.hosts = 74;
-    view.hosts_before = 40;
-    return view;
+reading_inputs inputs_of_non_reader() {
+    reading_inputs inputs;
+    inputs.mode = reading_mode::copies;
+    inputs.in_mode = seconds(30);
+    inputs.since_start = seconds(60);
+    inputs.config_age = milliseconds(900);
+    inputs.hosts = 74;
+    inputs.hosts_before = 40;
+    return inputs;
 }
 
 } // namespace
@@ -374,10 +374,10 @@
     host_status neighbour;
     neighbour.name = "h2";
     host_gossip other(neighbour, 2);
-    other.take({before}, begin);
-    own.take(other.statuses_to_send(begin), begin);
+    other.merge({before}, begin);
+    own.merge(other.statuses_to_send(begin), begin);
     own.set_state("serving");
-    other.take({own.statuses_to_send(begin).front()}, begin + seconds(2));
+    other.merge({own.statuses_to_send(begin).front()}, begin + seconds(2));
     const auto live = other.live(begin + seconds(4));
     ASSERT_EQ(live.size(), 2U);
     EXPECT_GT(live.front().incarnation, before.incarnation);
@@ -393,54 +393,54 @@
     host_status neighbour;
     neighbour.name = "h2";
     host_gossip other(neighbour, 2);
-    other.take({before}, begin);
-    other.take({restarted}, begin + seconds(1));
+    other.merge({before}, begin);
+    other.merge({restarted}, begin + seconds(1));
     EXPECT_EQ(other.live(begin + seconds(1)).front().incarnation, 5'000);
-    other.take({restarted}, begin + seconds(5));
+    other.merge({restarted}, begin + seconds(5));
     ASSERT_EQ(other.live(begin + seconds(5)).size(), 2U);
     EXPECT_EQ(other.live(begin + seconds(5)).front().incarnation, 3'000);
 }
 
 TEST(store_reading, few_hosts_of_a_large_fleet_read) {
-    reading_view view = view_of_one_among_many();
-    EXPECT_EQ(choose_reading(view), reading_mode::copies);
-    view.hosts_before = 1;
-    EXPECT_EQ(choose_reading(view), reading_mode::all);
-    view.hosts_before = 2;
-    EXPECT_EQ(choose_reading(view), reading_mode::copies);
-    view.hosts = 10;
-    EXPECT_EQ(choose_reading(view), reading_mode::all);
+    reading_inputs inputs = inputs_of_non_reader();
+    EXPECT_EQ(choose_reading_mode(inputs), reading_mode::copies);
+    inputs.hosts_before = 1;
+    EXPECT_EQ(choose_reading_mode(inputs), reading_mode::all);
+    inputs.hosts_before = 2;
+    EXPECT_EQ(choose_reading_mode(inputs), reading_mode::copies);
+    inputs.hosts = 10;
+    EXPECT_EQ(choose_reading_mode(inputs), reading_mode::all);
 }
 
 // Operators add 1,800 routes. Fifty hosts ask six for half a megabyte each, over links of 10 Mbit/s; the
 // copies time out one after another, and callers of the new routes get 404 for four seconds.
 TEST(store_reading, a_copy_that_does_not_come_is_read_from_the_store) {
-    reading_view view = view_of_one_among_many();
-    view.copy_overdue = milliseconds(400);
-    EXPECT_EQ(choose_reading(view), reading_mode::copies);
-    view.is_config_large = true;
-    EXPECT_EQ(choose_reading(view), reading_mode::fetching)
+    reading_inputs inputs = inputs_of_non_reader();
+    inputs.copy_overdue = milliseconds(400);
+    EXPECT_EQ(choose_reading_mode(inputs), reading_mode::copies);
+    inputs.is_config_large = true;
+    EXPECT_EQ(choose_reading_mode(inputs), reading_mode::fetching)
         << "the next change of one that is known to be large";
-    view.is_config_large = false;
-    view.copy_overdue = milliseconds(900);
-    EXPECT_EQ(choose_reading(view), reading_mode::fetching);
-    view.mode = reading_mode::fetching;
-    view.copy_overdue = duration::zero();
-    view.has_heard_itself = true;
-    EXPECT_EQ(choose_reading(view), reading_mode::copies);
+    inputs.is_config_large = false;
+    inputs.copy_overdue = milliseconds(900);
+    EXPECT_EQ(choose_reading_mode(inputs), reading_mode::fetching);
+    inputs.mode = reading_mode::fetching;
+    inputs.copy_overdue = duration::zero();
+    inputs.has_store_answered = true;
+    EXPECT_EQ(choose_reading_mode(inputs), reading_mode::copies);
 }
 
 // Forty hosts of a large fleet are killed and start again. Each read the store for one and a half seconds,
 // though it had listed everything, and had been told of the others, within fifty milliseconds.
 TEST(store_reading, a_host_that_has_just_started_reads_until_it_knows_the_others) {
-    reading_view view = view_of_one_among_many();
-    view.mode = reading_mode::all;
-    view.since_start = view.in_mode = milliseconds(250);
-    EXPECT_EQ(choose_reading(view), reading_mode::all);
-    view.holds_copies = true;
-    EXPECT_EQ(choose_reading(view), reading_mode::copies);
-    view.hosts = 3;
-    EXPECT_EQ(choose_reading(view), reading_mode::all);
+    reading_inputs inputs = inputs_of_non_reader();
+    inputs.mode = reading_mode::all;
+    inputs.since_start = inputs.in_mode = milliseconds(250);
+    EXPECT_EQ(choose_reading_mode(inputs), reading_mode::all);
+    inputs.holds_copies = true;
+    EXPECT_EQ(choose_reading_mode(inputs), reading_mode::copies);
+    inputs.hosts = 3;
+    EXPECT_EQ(choose_reading_mode(inputs), reading_mode::all);
 }
 
 TEST(host_gossip, an_introduction_names_every_live_host) {
@@ -453,9 +453,9 @@
         other.name = "h" + std::to_string(i);
         others.push_back(other);
     }
-    gossip.take(others, begin);
+    gossip.merge(others, begin);
     std::set<std::string> named;
-    for (const auto& message : gossip.introduction(begin)) {
+    for (const auto& message : gossip.introduction_messages(begin)) {
         EXPECT_EQ(message.front().name, "h0");
         EXPECT_LE(message.size(), 12U);
         for (const host_status& host : message) {
@@ -471,68 +471,68 @@
 // The store is down for eight seconds. Every host of a large fleet tries all its watches four times a second;
 // 6,000 refused calls use up the allowance that is needed at its return.
 TEST(store_reading, in_an_outage_the_others_ask_for_the_configuration_alone) {
-    reading_view view = view_of_one_among_many();
-    view.config_age = seconds(4);
-    EXPECT_EQ(choose_reading(view), reading_mode::confirming);
-    view.mode = reading_mode::confirming;
-    view.in_mode = seconds(3);
-    EXPECT_EQ(choose_reading(view), reading_mode::confirming);
-    view.config_age = milliseconds(300); // A peer vouches again.
-    EXPECT_EQ(choose_reading(view), reading_mode::copies);
+    reading_inputs inputs = inputs_of_non_reader();
+    inputs.config_age = seconds(4);
+    EXPECT_EQ(choose_reading_mode(inputs), reading_mode::confirming);
+    inputs.mode = reading_mode::confirming;
+    inputs.in_mode = seconds(3);
+    EXPECT_EQ(choose_reading_mode(inputs), reading_mode::confirming);
+    inputs.config_age = milliseconds(300); // A peer vouches again.
+    EXPECT_EQ(choose_reading_mode(inputs), reading_mode::copies);
 }
 
 // The store turns every reader away and serves this host. Were it only to confirm its configuration, nobody
 // would hear of endpoints that leave.
 TEST(store_reading, a_host_that_is_served_reads_for_those_that_are_not) {
-    reading_view view = view_of_one_among_many();
-    view.mode = reading_mode::confirming;
-    view.in_mode = milliseconds(250);
-    view.config_age = milliseconds(10);
-    view.has_heard_itself = true;
-    EXPECT_EQ(choose_reading(view), reading_mode::all);
-    view.mode = reading_mode::all;
-    EXPECT_EQ(choose_reading(view), reading_mode::all);
-    view.in_mode = seconds(1);
-    EXPECT_EQ(choose_reading(view), reading_mode::copies);
+    reading_inputs inputs = inputs_of_non_reader();
+    inputs.mode = reading_mode::confirming;
+    inputs.in_mode = milliseconds(250);
+    inputs.config_age = milliseconds(10);
+    inputs.has_store_answered = true;
+    EXPECT_EQ(choose_reading_mode(inputs), reading_mode::all);
+    inputs.mode = reading_mode::all;
+    EXPECT_EQ(choose_reading_mode(inputs), reading_mode::all);
+    inputs.in_mode = seconds(1);
+    EXPECT_EQ(choose_reading_mode(inputs), reading_mode::copies);
 }
 
 // All 295 hosts start within a third of a second. Each lists and follows everything until it knows the
 // others: seven calls each, 2,000 in all, which are most of the day's.
 TEST(store_reading, a_host_that_starts_follows_nothing_until_it_has_heard_who_the_others_are) {
-    reading_view view = view_of_one_among_many();
-    view.mode = reading_mode::listening;
-    view.since_start = view.in_mode = milliseconds(500);
-    view.hosts = 2;
-    view.holds_copies = true;
-    EXPECT_EQ(choose_reading(view), reading_mode::listening);
-    view.since_start = view.in_mode = milliseconds(1000);
-    EXPECT_EQ(choose_reading(view), reading_mode::all) << "there are no others";
-    view.hosts = 295;
-    EXPECT_EQ(choose_reading(view), reading_mode::copies);
-    view.holds_copies = false;
-    EXPECT_EQ(choose_reading(view), reading_mode::all) << "nothing came of what it asked for";
+    reading_inputs inputs = inputs_of_non_reader();
+    inputs.mode = reading_mode::listening;
+    inputs.since_start = inputs.in_mode = milliseconds(500);
+    inputs.hosts = 2;
+    inputs.holds_copies = true;
+    EXPECT_EQ(choose_reading_mode(inputs), reading_mode::listening);
+    inputs.since_start = inputs.in_mode = milliseconds(1000);
+    EXPECT_EQ(choose_reading_mode(inputs), reading_mode::all) << "there are no others";
+    inputs.hosts = 295;
+    EXPECT_EQ(choose_reading_mode(inputs), reading_mode::copies);
+    inputs.holds_copies = false;
+    EXPECT_EQ(choose_reading_mode(inputs), reading_mode::all) << "nothing came of what it asked for";
 }
 
 // The store turns both readers away. All 293 others ask for themselves in the same quarter of a second,
 // though the first that is answered could vouch for them.
 TEST(store_reading, hosts_that_nobody_vouches_for_ask_one_after_another) {
-    reading_view view = view_of_one_among_many();
-    view.hosts = 295;
-    view.config_age = milliseconds(3700);
-    view.hosts_before = 20;
-    EXPECT_EQ(choose_reading(view), reading_mode::confirming);
-    view.hosts_before = 100;
-    EXPECT_EQ(choose_reading(view), reading_mode::copies);
-    view.config_age = milliseconds(4650);
-    EXPECT_EQ(choose_reading(view), reading_mode::confirming);
+    reading_inputs inputs = inputs_of_non_reader();
+    inputs.hosts = 295;
+    inputs.config_age = milliseconds(3700);
+    inputs.hosts_before = 20;
+    EXPECT_EQ(choose_reading_mode(inputs), reading_mode::confirming);
+    inputs.hosts_before = 100;
+    EXPECT_EQ(choose_reading_mode(inputs), reading_mode::copies);
+    inputs.config_age = milliseconds(4650);
+    EXPECT_EQ(choose_reading_mode(inputs), reading_mode::confirming);
 }
 
 namespace {
 
-std::vector<host_status> fleet_of(int count, int domains) {
+std::vector<host_status> make_fleet(int count, int domains) {
     std::vector<host_status> hosts;
     for (int i = 0; i < count; ++i) {
-        hosts.push_back(status_of("h" + std::to_string(i), 1, "d" + std::to_string(i % domains)));
+        hosts.push_back(make_status("h" + std::to_string(i), 1, "d" + std::to_string(i % domains)));
     }
     return hosts;
 }
@@ -541,44 +541,44 @@
 
 // A failure domain is lost, and with it both hosts that read the store for all others.
 TEST(store_reading, readers_stand_in_different_domains) {
-    const std::vector<host_status> hosts = fleet_of(295, 6);
-    const std::vector<host_status> readers = readers_among(hosts);
+    const std::vector<host_status> hosts = make_fleet(295, 6);
+    const std::vector<host_status> readers = select_readers(hosts);
     ASSERT_EQ(readers.size(), 2U);
     EXPECT_NE(readers[0].domain, readers[1].domain);
-    EXPECT_EQ(place_among_readers(readers[1].name, hosts), (reader_place{0, 1}));
-    EXPECT_EQ(relays_among(hosts).size(), 12U);
+    EXPECT_EQ(find_reader_position(readers[1].name, hosts), (reader_position{0, 1}));
+    EXPECT_EQ(select_relays(hosts).size(), 12U);
 }
 
 // A release brings 190 endpoints. Callers of three hosts in each domain wait for 2.5 s, and some of their
 // requests reach an endpoint after they have left: these hosts sent copies to all others of their domain.
 TEST(store_reading, a_change_reaches_every_host_and_no_host_tells_many) {
-    const std::vector<host_status> hosts = fleet_of(400, 6);
-    const std::vector<host_status> readers = readers_among(hosts);
+    const std::vector<host_status> hosts = make_fleet(400, 6);
+    const std::vector<host_status> readers = select_readers(hosts);
     std::set<std::string> reached;
-    std::vector<std::string> telling;
+    std::vector<std::string> newly_reached;
     for (const host_status& reader : readers) {
         reached.insert(reader.name);
-        const std::vector<host_status> told = told_at_once(reader.name, true, hosts);
-        EXPECT_LE(told.size(), relays_among(hosts).size() + hosts_told_at_once);
-        for (const host_status& each : told) {
+        const std::vector<host_status> targets = change_notice_targets(reader.name, true, hosts);
+        EXPECT_LE(targets.size(), select_relays(hosts).size() + change_notice_fanout);
+        for (const host_status& each : targets) {
             if (reached.insert(each.name).second) {
-                telling.push_back(each.name);
+                newly_reached.push_back(each.name);
             }
         }
     }
     int hops = 0;
-    for (; !telling.empty(); ++hops) {
+    for (; !newly_reached.empty(); ++hops) {
         std::vector<std::string> next;
-        for (const std::string& name : telling) {
-            const std::vector<host_status> told = told_at_once(name, false, hosts);
-            EXPECT_LE(told.size(), hosts_told_at_once);
-            for (const host_status& each : told) {
+        for (const std::string& name : newly_reached) {
+            const std::vector<host_status> targets = change_notice_targets(name, false, hosts);
+            EXPECT_LE(targets.size(), change_notice_fanout);
+            for (const host_status& each : targets) {
                 if (reached.insert(each.name).second) {
                     next.push_back(each.name);
                 }
             }
         }
-        telling = std::move(next);
+        newly_reached = std::move(next);
     }
     EXPECT_EQ(reached.size(), hosts.size());
     EXPECT_LE(hops, 4);
@@ -587,32 +587,32 @@
 // The store is back after eight seconds. All 295 hosts look at everything at once, though the copies of those
 // that read are with the others in a moment.
 TEST(store_reading, after_an_outage_few_hosts_look_at_everything) {
-    reading_view view = view_of_one_among_many();
-    view.hosts = 295;
-    view.mode = reading_mode::confirming;
-    view.config_age = milliseconds(10);
-    view.has_heard_itself = true;
-    view.hosts_before = 47;
-    EXPECT_EQ(choose_reading(view), reading_mode::all);
-    view.hosts_before = 48;
-    EXPECT_EQ(choose_reading(view), reading_mode::copies);
+    reading_inputs inputs = inputs_of_non_reader();
+    inputs.hosts = 295;
+    inputs.mode = reading_mode::confirming;
+    inputs.config_age = milliseconds(10);
+    inputs.has_store_answered = true;
+    inputs.hosts_before = 47;
+    EXPECT_EQ(choose_reading_mode(inputs), reading_mode::all);
+    inputs.hosts_before = 48;
+    EXPECT_EQ(choose_reading_mode(inputs), reading_mode::copies);
 }
 
 // A fleet starts as a whole, before it has a configuration. Where only hosts that serve counted, every host
 // took itself for the first of the readers and asked for everything, and again when the first few served.
 TEST(store_reading, of_hosts_that_all_start_two_read) {
-    std::vector<host_status> hosts = fleet_of(295, 6);
+    std::vector<host_status> hosts = make_fleet(295, 6);
     for (host_status& host : hosts) {
         host.state = "starting";
     }
-    const std::vector<host_status> readers = readers_among(hosts);
+    const std::vector<host_status> readers = select_readers(hosts);
     EXPECT_EQ(readers.size(), 2U);
     hosts[7].state = "serving";
-    EXPECT_EQ(readers_among(hosts).front().name, readers.front().name);
+    EXPECT_EQ(select_readers(hosts).front().name, readers.front().name);
     for (host_status& host : hosts) {
         host.state = host.name == readers.front().name ? "leaving" : "serving";
     }
-    EXPECT_EQ(readers_among(hosts).front().name, readers.back().name)
+    EXPECT_EQ(select_readers(hosts).front().name, readers.back().name)
         << "one that stops does not read for others";
 }
 
@@ -621,36 +621,36 @@
 /** A fleet of which each host passes on what it knows three times in 1.2 s. */
 struct gossiping_fleet {
     explicit gossiping_fleet(int count) {
-        for (const host_status& status : fleet_of(count, 6)) {
+        for (const host_status& status : make_fleet(count, 6)) {
             hosts.push_back(std::make_unique<host_gossip>(status, hosts.size() + 1));
             hosts.back()->set_seeds({"h0:1", "h1:1", "h2:1"});
         }
     }
-    void play(int rounds) {
+    void run_rounds(int rounds) {
         for (int round = 0; round < rounds; ++round) {
             now += milliseconds(400);
             for (std::size_t i = 0; i < hosts.size(); ++i) {
                 if (dead.count(i) == 0) {
-                    tell_from(*hosts[i]);
+                    gossip_from(*hosts[i]);
                 }
             }
         }
     }
-    void tell_from(host_gossip& from) {
+    void gossip_from(host_gossip& from) {
         const std::vector<std::string> targets = from.next_targets(now);
         const auto statuses = from.statuses_to_send(now);
-        const std::string beats = encode_beats(from.beats_to_send(now));
+        const std::string beats = encode_heartbeats(from.heartbeats_to_send(now));
         for (const std::string& target : targets) {
             const auto index = static_cast<std::size_t>(std::stoi(target.substr(1)));
             if (dead.count(index) == 0) {
-                hosts[index]->take(statuses, now);
-                hosts[index]->take_beats(decode_beats(beats), now);
-                from.take(hosts[index]->statuses_missing_in(decode_beats(beats), from.self().name, now), now);
+                hosts[index]->merge(statuses, now);
+                hosts[index]->merge_heartbeats(decode_heartbeats(beats), now);
+                from.merge(hosts[index]->statuses_missing_in(decode_heartbeats(beats), from.self().name, now), now);
             }
         }
     }
     /** \return the smallest and the largest number of live hosts that a live host believes in. */
-    std::pair<std::size_t, std::size_t> believed() const {
+    std::pair<std::size_t, std::size_t> live_count_range() const {
         std::pair<std::size_t, std::size_t> range{hosts.size(), 0};
         for (std::size_t i = 0; i < hosts.size(); ++i) {
             if (dead.count(i) == 0) {
@@ -668,46 +668,46 @@
 } // namespace
 
 // At 295 hosts every host takes half of the others for dead at any moment: callers are told of half of the
-// fleet, hosts that are no readers take themselves for one and read the store, and a change is told to half
+// fleet, hosts that are no readers merge themselves for one and read the store, and a change is told to half
 // of them. Three messages in 0.4 s that speak of twelve hosts each bring news of a given one every 3.3 s.
 TEST(host_gossip, every_host_of_a_large_fleet_knows_all_that_live) {
     gossiping_fleet fleet(400);
-    fleet.play(25);
-    EXPECT_EQ(fleet.believed().first, 400U) << "ten seconds after all have started";
-    fleet.play(8);
-    EXPECT_EQ(fleet.believed().first, 400U) << "and goes on knowing them";
+    fleet.run_rounds(25);
+    EXPECT_EQ(fleet.live_count_range().first, 400U) << "ten seconds after all have started";
+    fleet.run_rounds(8);
+    EXPECT_EQ(fleet.live_count_range().first, 400U) << "and goes on knowing them";
 }
 
 // A third of the hosts lose power at once. Callers must not be sent there for long, nor may those that live
 // be lost with them.
 TEST(host_gossip, a_third_of_a_large_fleet_dies_and_the_rest_knows_it_within_six_seconds) {
     gossiping_fleet fleet(300);
-    fleet.play(25);
+    fleet.run_rounds(25);
     for (std::size_t i = 0; i < 300; i += 3) {
         fleet.dead.insert(i);
     }
-    fleet.play(15);
-    EXPECT_EQ(fleet.believed(), (std::pair<std::size_t, std::size_t>{200, 200}));
+    fleet.run_rounds(15);
+    EXPECT_EQ(fleet.live_count_range(), (std::pair<std::size_t, std::size_t>{200, 200}));
 }
 
 TEST(host_gossip, beats_survive_their_way) {
-    const std::vector<host_beat> beats{{4'000'000'001U, 65'535, 0}, {7, 1, 40'000}};
-    EXPECT_EQ(decode_beats(encode_beats(beats)), beats);
-    EXPECT_EQ(decode_beats(encode_beats(beats) + "half").size(), 2U);
+    const std::vector<host_heartbeat> beats{{4'000'000'001U, 65'535, 0}, {7, 1, 40'000}};
+    EXPECT_EQ(decode_heartbeats(encode_heartbeats(beats)), beats);
+    EXPECT_EQ(decode_heartbeats(encode_heartbeats(beats) + "half").size(), 2U);
 }
 
 // A host that has restarted has a low beat again; a beat of its earlier process, still on its way, must not
 // make the new one look older or newer than it is.
 TEST(host_gossip, a_beat_of_another_process_changes_nothing) {
     gossiping_fleet fleet(20);
-    fleet.play(20);
+    fleet.run_rounds(20);
     const host_status known = fleet.hosts[1]->self();
     host_gossip& own = *fleet.hosts[0];
-    own.take_beats({{beat_code("h1"), 99, 9'999}}, fleet.now + seconds(5));
-    own.take_beats({{beat_code("nobody"), 1, 1}}, fleet.now + seconds(5));
+    own.merge_heartbeats({{host_name_hash("h1"), 99, 9'999}}, fleet.now + seconds(5));
+    own.merge_heartbeats({{host_name_hash("nobody"), 1, 1}}, fleet.now + seconds(5));
     EXPECT_EQ(own.live(fleet.now + seconds(5)).size(), 1U);
     const auto later = static_cast<std::uint16_t>(known.beat + 1);
-    own.take_beats({{beat_code("h1"), 1, later}}, fleet.now + seconds(5));
+    own.merge_heartbeats({{host_name_hash("h1"), 1, later}}, fleet.now + seconds(5));
     EXPECT_EQ(own.live(fleet.now + seconds(5)).size(), 2U);
 }
 
