--- a/src/host/entry_host.cpp
+++ b/src/host/entry_host.cpp
@@ -7,7 +7,8 @@
 namespace {
 
 constexpr watch_timing config_timing{config_wait, config_batch_delay};
-/// While the store is lost, the configuration's watch alone looks for its return and wakes the others.
+/// Longest backoff of the other watches. While the store is unreachable, only the configuration's watch
+/// retries often; it makes the others ask again as soon as the store answers.
 constexpr duration secondary_watch_max_backoff = milliseconds(2000);
 constexpr watch_timing endpoint_timing{endpoint_wait, endpoint_batch_delay, secondary_watch_max_backoff};
 constexpr watch_timing rollout_timing{rollout_wait, rollout_batch_delay, secondary_watch_max_backoff};
@@ -15,11 +16,11 @@
 constexpr duration gossip_interval = milliseconds(400);
 constexpr duration maintenance_interval = milliseconds(250);
 constexpr duration stop_interval = milliseconds(100);
-constexpr std::size_t max_logged_invalid_endpoints = 1000; ///< remembered, so that each is logged once
-/// Callers keep an answer about this long, so for that time they still come.
+constexpr std::size_t max_logged_invalid_endpoints = 1000; ///< kept in memory, so that each is logged only once
+/// Callers cache the list of entry hosts for about this long, so requests still arrive during this time.
 constexpr duration serving_after_stop = milliseconds(3000);
-constexpr duration stop_margin = milliseconds(1000); ///< before the end of the grace period, for slow hosts
-/// Callers take up to 64 addresses. With 16, three hosts in a domain of 19 got no callers.
+constexpr duration stop_margin = milliseconds(1000); ///< kept free at the end of the grace period, for slow hosts
+/// Callers accept up to 64 addresses. With 16, three hosts in a domain of 19 got no callers.
 constexpr std::size_t max_entries_in_answer = 64;
 
 std::int64_t new_incarnation() {
@@ -77,7 +78,7 @@
                     {[this](const objects_by_name& objects) { on_config(objects); },
                      [this](time_point as_of) {
                          store_confirmed_at_ = monotonic_now();
-                         behind_since_.reset(); // What is held is the newest, whatever its number.
+                         behind_since_.reset(); // The copy held is the newest, whatever its revision.
                          if (is_config_readable_) {
                              relay_.state().fence.confirm(as_of);
                          }
@@ -129,8 +130,8 @@
         loop_, "peers", settings_.peers, http_limits{},
         [this](const http_request& request, const auto& responder) { serve_copy(request, responder); });
     for (object_watch* watch : watches()) {
-        watch->pause(); // Once listed, until it is known who reads.
-        // The newest configuration: it is also the first proof that keys are in force.
+        watch->pause(); // After its first listing, until it is known which hosts read.
+        // The configuration must be the newest: it is also the first confirmation that API keys are valid.
         watch->start(watch == &config_watch_ ? first_listing::newest : first_listing::lagging);
     }
     loop_.every(gossip_interval, [this] { gossip_round(); });
@@ -152,7 +153,8 @@
     gossip_.set_seeds(seeds);
 }
 
-// Against a host that starts while a domain is evacuated: it would send there until it has read the order.
+// A host that starts during an evacuation would otherwise send requests to the evacuated domain until it has
+// read the order.
 bool entry_host::knows_endpoints() const {
     return endpoint_watch_.is_listed() && (!settings_.evacuations_enabled || evacuation_watch_.is_listed());
 }
@@ -190,12 +192,12 @@
     }
 }
 
-// The configuration's watch is the one that asks most often, so it notices first, both ways.
+// The configuration's watch calls the store most often, so it is the first to notice both loss and return.
 void entry_host::on_store_reachability(bool is_lost) {
     note_reachability(is_lost);
     is_store_lost_ = is_lost;
     if (is_lost) {
-        check_freshness(); // While the peers' own confirmations are as fresh as they will ever be.
+        check_freshness(); // At once, while the peers' own confirmations are still recent.
     } else {
         for (object_watch* watch : watches()) {
             if (watch != &config_watch_) {
@@ -208,7 +210,7 @@
 void entry_host::on_history_gone() {
     history_gone_at_ = monotonic_now();
     for (object_watch* watch : watches()) {
-        watch->list_again(); // Has no effect on the one that noticed: it lists already.
+        watch->list_again(); // Has no effect on the watch that reported this, which is already listing.
     }
 }
 
@@ -220,7 +222,7 @@
 
 bool entry_host::apply_config(const stored_object& object) {
     if (relay_.state().routing && object.revision <= config_revision_) {
-        return true; // What is in force is as new: revisions only rise, or a lagging reading would undo one.
+        return true; // Revisions only rise, so that an outdated reading never replaces a newer configuration.
     }
     const outcome<traffic_config> decoded = codec_.config(object);
     if (const error* failure = error_of(decoded)) {
@@ -257,7 +259,7 @@
     send_copy_notice(notice_scope::change);
 }
 
-// Once for each revision: the list is read anew at every change, of which there are several a second.
+// Logs each revision once, because the whole list is decoded again at every change, several times a second.
 void entry_host::log_invalid_endpoint(const stored_object& object, const std::string& remedy) {
     std::int64_t& logged = logged_invalid_endpoints_[object.name];
     if (logged == object.revision) {
@@ -271,7 +273,8 @@
     }
 }
 
-// Nothing of it waits: what was chosen before and has not been sent goes at once, all else is chosen anew.
+// Takes effect without delay. A request that has chosen its endpoint before and only waits for the connection
+// is still sent there; all other requests choose an endpoint that is not evacuated.
 void entry_host::on_evacuations(const objects_by_name& objects) {
     evacuation_set ordered;
     for (const auto& [name, object] : objects) {
--- a/src/host/entry_host.h
+++ b/src/host/entry_host.h
@@ -1,7 +1,7 @@
 /** \file
- * Defines an entry host: the relay with everything that tells it what to do. It keeps copies of what the
- * store holds, gossips with the other hosts, carries out roll-outs, answers which hosts callers should use,
- * and stops without cutting a request.
+ * Defines an entry host: the relay of requests, and everything that configures it. An entry host keeps copies
+ * of the store's objects, gossips with the other hosts, carries out roll-outs, tells callers which hosts to
+ * use, and stops without interrupting a request.
  */
 #pragma once
 
@@ -12,20 +12,21 @@
 
 namespace laurelhoist {
 
-/// What a reader, or a host of a small fleet, reads: one call waits so long for news. The configuration's
-/// bounds how old the proof is that keys are in force; the others only cost calls.
+/// How long one watch call waits for a change, by kind of object. The value for the configuration, which is
+/// shorter on a large fleet, bounds the age of the confirmation that API keys are valid; the other values
+/// only determine the number of calls.
 constexpr duration config_wait = milliseconds(2000);
 constexpr duration endpoint_wait = milliseconds(8000);
 constexpr duration rollout_wait = milliseconds(8000);
-/// Well under the time for which the store keeps its history, 20 s.
+/// Well below the 20 s for which the store keeps its history.
 constexpr duration evacuation_wait = milliseconds(15000);
-/// After news, before the next call. What is gathered is in force well within the 2 s that a change or a
-/// leaving endpoint may take.
+/// Delay between a change and the next watch call, so that several changes arrive in one call. Batched
+/// changes are in force well within the 2 s that a change or a leaving endpoint may take.
 constexpr duration config_batch_delay = milliseconds(200);
 constexpr duration endpoint_batch_delay = milliseconds(250);
 constexpr duration rollout_batch_delay = milliseconds(300);
 
-/** Decodes what the store holds, and encodes what is written there. */
+/** Decodes objects of the store, and encodes what is written there. */
 class object_codec {
 public:
     object_codec() = default;
@@ -41,7 +42,7 @@
     virtual outcome<traffic_config> config(const stored_object& object) const = 0;
     virtual outcome<endpoint_record> endpoint(const stored_object& object) const = 0;
     virtual outcome<rollout_order> rollout(const stored_object& object) const = 0;
-    /** \return the failure domain to evacuate */
+    /** \return the failure domain to evacuate. */
     virtual outcome<std::string> evacuation(const stored_object& object) const = 0;
     virtual json rollout_status(const rollout_order& order, rollout_state state) const = 0;
 };
@@ -49,15 +50,15 @@
 struct entry_host_settings {
     std::string name;
     std::string failure_domain;
-    socket_address callers;         ///< where requests are taken
-    socket_address peers;           ///< datagrams and the configuration, between entry hosts
-    std::vector<std::string> seeds; ///< peers' addresses to begin with
+    socket_address callers;         ///< address on which callers' requests are accepted
+    socket_address peers;           ///< address for datagrams and copies of the store between entry hosts
+    std::vector<std::string> seeds; ///< addresses of some peers to contact first
     duration revoke_bound = seconds(5);
     duration stop_grace = seconds(8);
     cascade_settings cascade;
     rollout_settings rollouts;
     mechanisms in_use;
-    bool evacuations_enabled = false; ///< operators of this deployment may order some
+    bool evacuations_enabled = false; ///< operators of this deployment may order evacuations
     cold_bound cold;
     std::string cold_sharing = "sponsors"; ///< \see cold_sharing_names
 };
@@ -78,7 +79,7 @@
     entry_host& operator=(const entry_host&) = delete;
 
     void start();
-    /** Begins the planned stop; \ref event_loop::stop is called when it is over. */
+    /** Begins the planned stop. When it is complete, \ref event_loop::stop is called. */
     void begin_stop();
     void set_seeds(const std::vector<std::string>& seeds);
 
@@ -86,9 +87,9 @@
     /** \return the addresses that a caller in \p domain may use. */
     std::vector<std::string> entries_for_caller(const std::string& domain) const;
     std::string metrics_text();
-    /** \return the requests that are not sent because endpoints ended under them. */
+    /** \return the requests that are quarantined because endpoints crashed during them. */
     std::vector<quarantined_request> quarantined() const;
-    /** An operator trusts the request again, at all hosts. */
+    /** Lifts the quarantine of a request on all hosts, by an operator's order. */
     void lift_quarantine(request_digest digest) { relay_.lift_quarantine(digest); }
     metrics& measured() { return relay_.state().measured; }
 
@@ -104,14 +105,14 @@
     void refresh_endpoints();
     void on_rollouts(const objects_by_name& objects);
     void on_evacuations(const objects_by_name& objects);
-    /** The watches in use, that of the configuration first. */
+    /** \return the watches in use; the configuration's comes first. */
     const std::vector<object_watch*>& watches() const { return watches_; }
     void on_datagram(const std::string& from, const std::string& bytes);
-    void handle(const std::string& from, const gossip_message& news);
+    void handle(const std::string& from, const gossip_message& message);
     void handle(const std::string& from, const freshness_question& question);
     void handle(const std::string& from, const freshness_answer& answer);
-    void handle(const std::string& from, const load_update& news);
-    void handle(const std::string& from, const session_update& news);
+    void handle(const std::string& from, const load_update& message);
+    void handle(const std::string& from, const session_update& message);
     void send_session_update(time_point now);
     void send_introduction(const std::string& newcomer, time_point now);
     void send_missing_statuses(const std::string& recipient_address, const std::string& recipient,
@@ -121,17 +122,17 @@
     void on_load_changed();
     void on_refused(const std::string& endpoint);
     void send_refusal_update();
-    void handle(const std::string& from, const refusal_update& news);
+    void handle(const std::string& from, const refusal_update& message);
     void merge_refusals(const std::vector<refused_endpoint>& refused);
     std::vector<refused_endpoint> known_refusals(time_point now) const;
     void assign_sponsored_endpoints(time_point now);
     void assign_trials(time_point now);
     void on_crash_news();
     void send_crash_updates();
-    void handle(const std::string& from, const crash_update& news);
+    void handle(const std::string& from, const crash_update& message);
     void on_limit_news();
     void send_limit_updates();
-    void handle(const std::string& from, const limit_update& news);
+    void handle(const std::string& from, const limit_update& message);
     void send_load_update();
     void gossip_round();
     gossip_message make_gossip_message(time_point now);
@@ -144,16 +145,16 @@
     enum class notice_scope { change, round };
     void send_copy_notice(notice_scope scope);
     void send_to_others(const std::vector<host_status>& peers, const std::string& bytes);
-    void handle(const std::string& from, const count_update& news);
+    void handle(const std::string& from, const count_update& message);
     void send_counts_when_due(time_point now);
     void send_counts_while_settling(time_point now);
     void send_counts(const std::vector<release_counts>& counts, time_point now);
     void send_new_decisions(time_point now);
     void update_deciding_role(time_point now);
-    /// What was last served of one kind of object.
+    /// The copy of one kind of object that was last encoded for peers.
     struct encoded_copy {
-        std::int64_t since = 0;      ///< revision that the asker held
-        std::int64_t changed_at = 0; ///< \ref object_watch::changed_at
+        std::int64_t since = 0;      ///< revision that the requesting host held
+        std::int64_t changed_at = 0; ///< \ref object_watch::changed_at when it was encoded
         std::string bytes;
     };
     const std::string& copy_since(const object_watch& watch, const std::string& kind, std::int64_t since);
@@ -162,7 +163,7 @@
     void note_config_revision(std::int64_t revision);
     void take_copy(object_watch& watch, const std::string& kind, const json& copy);
     void advance_rollouts();
-    std::size_t place_among_reporters(time_point now) const;
+    std::size_t reporter_position(time_point now) const;
     void report(const rollout_report& due);
     void write_report(const rollout_order& order, rollout_state state,
                       std::function<void(const store_result<stored_object>&)> done);
@@ -187,36 +188,36 @@
     datagram_socket datagrams_;
     std::unique_ptr<http_server> peer_server_;
     http_client peer_client_;
-    std::int64_t config_revision_ = 0;             ///< of the configuration in force
-    time_point config_since_;                      ///< when that was put in force here
-    bool is_config_readable_ = false;              ///< the newest one could be decoded
-    std::map<std::int64_t, time_point> open_questions_; ///< asked of peers, by nonce
+    std::int64_t config_revision_ = 0;             ///< revision of the configuration in force
+    time_point config_since_;                      ///< when the configuration in force took effect here
+    bool is_config_readable_ = false;              ///< whether the newest configuration could be decoded
+    std::map<std::int64_t, time_point> open_questions_; ///< when each \ref freshness_question was sent, by nonce
     std::int64_t last_nonce_ = 0;
-    std::uint64_t rounds_ = 0;                  ///< of gossip
-    std::optional<time_point> history_gone_at_; ///< when the store last dropped its history
+    std::uint64_t rounds_ = 0;                  ///< gossip rounds so far
+    std::optional<time_point> history_gone_at_; ///< when the store last reported that its history is gone
     bool is_load_update_scheduled_ = false;
     bool is_crash_update_scheduled_ = false;
     bool is_limit_update_scheduled_ = false;
-    std::set<std::string> unsent_refusals_;             ///< endpoints
-    std::map<std::string, load_entry> last_sent_load_;        ///< what the last load news said, by endpoint
-    bool is_store_lost_ = false;                         ///< the configuration's watch fails
-    std::map<std::string, encoded_copy> encoded_copies_; ///< by kind
-    std::set<std::string> fetches_in_flight_;                     ///< kinds of which a peer's copy is on its way
+    std::set<std::string> unsent_refusals_;             ///< endpoints whose refusal is not sent yet
+    std::map<std::string, load_entry> last_sent_load_;        ///< content of the last load update, by endpoint
+    bool is_store_lost_ = false;                         ///< whether calls of the configuration's watch fail
+    std::map<std::string, encoded_copy> encoded_copies_; ///< by kind of object
+    std::set<std::string> fetches_in_flight_;                     ///< kinds of object of which a copy is being fetched
     time_point started_at_;
-    std::int64_t newest_known_config_ = 0;   ///< revision; of peers or of the store
-    std::optional<time_point> behind_since_; ///< a newer configuration was heard of than is held
+    std::int64_t newest_known_config_ = 0;   ///< highest revision named by a peer or the store
+    std::optional<time_point> behind_since_; ///< since when a newer configuration is known than is held
     reading_mode reading_ = reading_mode::listening;
     time_point reading_since_;
-    std::vector<release_counts> last_sent_counts_;   ///< what the last count news said
-    std::optional<time_point> hears_all_since_; ///< since when the counts of all hosts come here
-    std::vector<rollout_news> last_sent_decisions_;  ///< what all hosts were told last, but for ages
-    std::optional<time_point> store_confirmed_at_;  ///< when the store last confirmed the configuration here
+    std::vector<release_counts> last_sent_counts_;   ///< content of the last count update
+    std::optional<time_point> hears_all_since_; ///< since when all hosts send their counts to this one
+    std::vector<rollout_news> last_sent_decisions_;  ///< last sent to all hosts, with ages set to 0
+    std::optional<time_point> store_confirmed_at_;  ///< when the store last confirmed the configuration to this host
     std::map<std::string, time_point>
-        due_since_;                      ///< reports not yet shown by the store, by service and state
-    std::set<std::string> reports_in_flight_;      ///< services with a write under way
-    std::set<std::int64_t> handed_over_; ///< revisions of orders; one goes over once
+        due_since_;                      ///< when reports that are not confirmed yet became due, by service and state
+    std::set<std::string> reports_in_flight_;      ///< services for which a report is being written
+    std::set<std::int64_t> handed_over_; ///< revisions of orders whose report was handed over
     std::map<std::string, std::int64_t>
-        logged_invalid_endpoints_; ///< revision of the entry that was logged, by name
+        logged_invalid_endpoints_; ///< revision last logged as invalid, by endpoint name
 };
 
 } // namespace laurelhoist
--- a/src/host/entry_host_copies.cpp
+++ b/src/host/entry_host_copies.cpp
@@ -1,6 +1,6 @@
-// How entry hosts share what they read from the store. Calls of the store are rationed for all hosts
-// together, and each change answers everybody's. On a large fleet a few hosts read and the others go by their
-// copies; any of them reads itself as soon as it hears too little.
+// How entry hosts share copies of the store's objects. All hosts share one rate limit for calls of the store,
+// and each change completes the waiting call of every host. On a large fleet a few hosts read the store and
+// the others use their copies; a host whose copies are overdue or unconfirmed reads the store itself.
 #include "host/entry_host.h"
 #include "relay/http_codec.h"
 
@@ -10,27 +10,27 @@
 
 namespace {
 
-/// A reader must notice the store's return soon, as the others go by it; the others need not.
+/// A reader must notice the store's return soon, because the other hosts depend on its copies; they need not.
 constexpr duration reader_max_backoff = milliseconds(250);
 constexpr duration non_reader_max_backoff = milliseconds(2500);
-/// Others count a configuration's age from when a reader confirmed it, and keys expire after 5 s.
+/// Other hosts count a configuration's age from when a reader confirmed it, and API keys expire after 5 s.
 constexpr duration reader_config_wait = milliseconds(1000);
-/// A leaving endpoint may still get requests for 3 s or more; the rest is for the way to the last host. With
-/// 0.25 s each change of 200 endpoints costs two calls of its own.
+/// A leaving endpoint may still get requests for 3 s or more; the rest of that time is for propagation to the
+/// last host. With 0.25 s, each of 200 changing endpoints costs two calls of its own.
 constexpr duration reader_batch_delay = milliseconds(800);
-/// Some 100 KB; larger ones take the links of the few hosts that read longer than the store takes for
-/// everybody.
+/// Routes in a configuration of about 100 KB. Copying a larger one over the links of the few readers takes
+/// longer than reading it from the store on every host.
 constexpr std::size_t large_config_routes = 300;
-constexpr std::size_t copy_notice_peers = 4;
-constexpr std::size_t copy_notice_peers_in_other_domains = 1; ///< of these, in other failure domains
+constexpr std::size_t copy_notice_peers = 4; ///< recipients of a copy notice in each gossip round
+constexpr std::size_t copy_notice_peers_in_other_domains = 1; ///< of them, in other failure domains
 constexpr duration copy_timeout =
-    milliseconds(400); ///< a cut-off peer must not keep this host from asking another
-constexpr duration max_propagation_time = milliseconds(700); ///< of news from a reading host to the last one
+    milliseconds(400); ///< short, so that an unreachable peer does not delay a request to another peer
+constexpr duration max_propagation_time = milliseconds(700); ///< of a change, from a reader to the last host
 constexpr int status_ok = 200;
 constexpr int status_unavailable = 503;
 
-// Only what the asker lacks, and the names of all: a list of 229 endpoints is 90 KB, which takes a host with
-// 10 Mbit/s 70 ms for each of those that ask it.
+// Encodes only the objects that the requesting host lacks, and the names of all objects. A full list of 229
+// endpoints has 90 KB, which takes a host on a 10 Mbit/s link 70 ms for each request.
 std::string encode_copy(const object_watch& watch, std::int64_t since, duration grace) {
     json names = json::array();
     json objects = json::array();
@@ -60,9 +60,9 @@
     inputs.since_start = now - started_at_;
     inputs.config_age = relay_.state().fence.age(now);
     if (inputs.config_age == duration::max()) {
-        // None has been confirmed yet, and peers will do so once the readers have one. Counted as stale, at a
-        // fleet's first start each host went on asking until there was a configuration, and once more when
-        // its copy came.
+        // No configuration has been confirmed yet; peers will confirm it once the readers have one. If it
+        // counted as stale, at a fleet's first start each host would keep asking the store until there is a
+        // configuration, and would ask once more when its copy arrives.
         inputs.config_age = now - std::max(store_confirmed_at_.value_or(started_at_), config_since_);
     }
     inputs.has_store_answered = store_confirmed_at_ && *store_confirmed_at_ >= reading_since_;
@@ -114,8 +114,8 @@
     }
     const copy_notice notice{config_watch_.changed_at(), endpoint_watch_.changed_at(),
                              rollout_watch_.changed_at(), evacuation_watch_.changed_at()};
-    // From hand to hand alone, news of 112 endpoints that left at once took 1.3 s to the last host, and
-    // requests went to them meanwhile.
+    // Changes are also sent directly: by gossip rounds alone, the simultaneous departure of 112 endpoints
+    // took 1.3 s to reach the last host, and requests were sent to them meanwhile.
     send_to_others(scope == notice_scope::change
                        ? change_notice_targets(settings_.name, reads_everything(), gossip_.live(now))
                        : gossip_.random_peers_by_domain(copy_notice_peers - copy_notice_peers_in_other_domains, copy_notice_peers_in_other_domains, now),
@@ -134,14 +134,14 @@
 void entry_host::handle(const std::string& from, const copy_notice& notice) {
     note_config_revision(notice.config_revision);
     if (reads_everything()) {
-        return; // It hears of changes itself, and at first hand.
+        return; // This host reads changes from the store directly.
     }
     const auto fetch_if_newer = [&](object_watch& watch, std::int64_t revision, const std::string& kind) {
         if (revision > watch.changed_at()) {
             fetch_copy(from, watch, kind);
         }
     };
-    // In any other mode it comes from the store, and a copy beside it would only delay it.
+    // In any other mode the configuration is read from the store, which a concurrent copy would only delay.
     if (reading_ == reading_mode::copies) {
         fetch_if_newer(config_watch_, notice.config_revision, codec_.config_kind());
     }
@@ -160,7 +160,7 @@
     responder->reply(watch.is_listed() ? status_ok : status_unavailable, {}, copy_since(watch, kind, since));
 }
 
-// Hosts that were told of the same change ask for the same copy, so it is encoded once.
+// Hosts that were notified of the same change request the same copy, so it is encoded once.
 const std::string& entry_host::copy_since(const object_watch& watch, const std::string& kind,
                                           std::int64_t since) {
     const duration grace = roster_.grace_left(monotonic_now());
@@ -208,9 +208,9 @@
         const std::string name = object.name;
         objects[name] = std::move(object);
     }
-    // Endpoints that lapsed in an outage are kept here as long as there, less what the copy may have been
-    // under way: told as a length of time from now, every hand would pass it on afresh, and none would ever
-    // be dropped.
+    // Endpoints that lapsed in an outage are kept here as long as on the peer. The longest propagation time
+    // is subtracted: the grace period is sent as a duration, so it would otherwise begin anew at each host
+    // that forwards it, and no endpoint would ever be dropped.
     const duration grace = milliseconds(static_cast<std::int64_t>(copy.value("grace_ms", 0.0))) - max_propagation_time;
     roster_.keep_lapsed_until(monotonic_now() + grace);
     const std::int64_t revision = copy.value("revision", std::int64_t{0});
--- a/src/host/entry_host_peers.cpp
+++ b/src/host/entry_host_peers.cpp
@@ -1,5 +1,5 @@
-// What entry hosts tell one another by datagrams: who lives, how new their copies are, what they have in
-// flight.
+// Datagrams between entry hosts: which hosts are alive, how recently their configuration was confirmed, which
+// requests they have in flight, and what they have learned about endpoints.
 #include "host/entry_host.h"
 
 #include <algorithm>
@@ -9,32 +9,35 @@
 
 namespace {
 
-/// Without confirmation from the store for this long, peers are asked; three rounds fit before keys expire.
+/// A host whose configuration the store has not confirmed for this long asks its peers, which leaves time for
+/// three rounds of questions before its API keys expire.
 constexpr duration stale_after = milliseconds(3200);
-/// When the store is lost to everybody, the host that it answered last vouches for all: in an outage of 4.5 s
-/// refusals fell from 1,478 to 706 over six plays.
+/// If no host reaches the store, the host that the store answered last has the most recent confirmation.
+/// Asking this many peers, instead of three, finds it more often: in a store outage of 4.5 s it reduced
+/// refusals from 1,478 to 706 over six runs.
 constexpr std::size_t peers_asked_in_outage = 12;
-/// A host that goes by copies asks sooner: the answer's own age, up to 3 s, comes on top.
+/// A host that uses copies or has lost the store asks its peers sooner, because the age of the answer, up to
+/// 3 s, is added.
 constexpr duration stale_copy_after = milliseconds(1200);
-constexpr duration load_batch_delay = milliseconds(20); ///< so that a burst of requests is told at once
-/// The engines of a domain end together, and requests find so within some 100 ms.
+constexpr duration load_batch_delay = milliseconds(20); ///< so that one message covers a burst of requests
+/// The engines of a failure domain end together, and requests detect that within about 100 ms.
 constexpr duration refusal_batch_delay = milliseconds(30);
-constexpr std::size_t max_refusals_per_message = 64; ///< of 25 bytes each in a datagram
-/// All that broke with one endpoint is found out within some 5 ms.
+constexpr std::size_t max_refusals_per_message = 64; ///< 25 bytes each
+/// All requests that break off when an endpoint crashes are detected within about 5 ms.
 constexpr duration crash_batch_delay = milliseconds(10);
-constexpr std::size_t max_crashes_per_round = 8; ///< of some 60 bytes each; the newest
-constexpr std::size_t max_crashes_per_message = 16;         ///< in a datagram that is sent at once
-/// Engines of one load name their limits within some 10 ms of one another.
+constexpr std::size_t max_crashes_per_round = 8; ///< about 60 bytes each; the newest ones are sent
+constexpr std::size_t max_crashes_per_message = 16;         ///< in a message sent outside the gossip rounds
+/// Engines under the same load state their rate limits within about 10 ms of one another.
 constexpr duration limit_batch_delay = milliseconds(10);
-constexpr std::size_t max_limits_per_round = 8; ///< of some 30 bytes each; others with the next round
-constexpr std::size_t max_limits_per_message = 32;         ///< in a datagram that is sent at once
-/// Until then a host that has just started may know too few others to say who is a sponsor: rounds of gossip
-/// bring them all within 2 s.
+constexpr std::size_t max_limits_per_round = 8; ///< about 30 bytes each; each round sends other ones
+constexpr std::size_t max_limits_per_message = 32;         ///< in a message sent outside the gossip rounds
+/// For this long after its start a host may know too few others to determine the sponsors of an endpoint.
+/// Gossip rounds name all hosts within 2 s.
 constexpr duration host_discovery_time = seconds(3);
 constexpr duration question_timeout = seconds(2);
 constexpr std::size_t peers_asked = 3;
-constexpr std::size_t own_domain_peers_asked = 2;   ///< of these, on a large fleet, in the own failure domain
-constexpr std::size_t max_load_entries = 16; ///< of 20 bytes each in a datagram
+constexpr std::size_t own_domain_peers_asked = 2;   ///< of them, in the own failure domain (large fleet)
+constexpr std::size_t max_load_entries = 16; ///< per message, 20 bytes each
 
 std::vector<std::string> names_of(const std::vector<host_status>& hosts) {
     std::vector<std::string> names;
@@ -61,57 +64,58 @@
     }
 }
 
-void entry_host::handle(const std::string& from, const gossip_message& news) {
-    if (news.statuses.empty()) {
+void entry_host::handle(const std::string& from, const gossip_message& message) {
+    if (message.statuses.empty()) {
         return;
     }
     const time_point now = monotonic_now();
-    const std::string& sender = news.statuses.front().name;
+    const std::string& sender = message.statuses.front().name;
     const bool is_newcomer =
-        news.statuses.front().state == "starting" && !gossip_.knows(news.statuses.front());
-    gossip_.merge(news.statuses, now);
-    const std::vector<host_heartbeat> beats = decode_heartbeats(news.beats);
+        message.statuses.front().state == "starting" && !gossip_.knows(message.statuses.front());
+    gossip_.merge(message.statuses, now);
+    const std::vector<host_heartbeat> beats = decode_heartbeats(message.beats);
     gossip_.merge_heartbeats(beats, now);
     if (is_newcomer) {
         send_introduction(from, now);
-    } else if (news.is_round) {
+    } else if (message.is_round) {
         send_missing_statuses(from, sender, beats, now);
     }
-    relay_.state().endpoints.set_peer_load(sender, to_loads(news.load), now);
-    const std::string reporter = sender + "/" + std::to_string(news.statuses.front().incarnation);
-    rollouts_.merge(reporter, news.counts, news.rollouts, now);
-    merge_refusals(news.refused);
-    relay_.take_crash_notices(news.crashes);
-    relay_.take_limit_notices(news.limits);
+    relay_.state().endpoints.set_peer_load(sender, to_loads(message.load), now);
+    const std::string reporter = sender + "/" + std::to_string(message.statuses.front().incarnation);
+    rollouts_.merge(reporter, message.counts, message.rollouts, now);
+    merge_refusals(message.refused);
+    relay_.take_crash_notices(message.crashes);
+    relay_.take_limit_notices(message.limits);
 }
 
-// Without it a host that starts hears of the others when one of them picks it at random, up to a second
-// later; until then it names few entries to callers, and nobody can vouch for its configuration.
+// Without an introduction, a host that starts learns of the others only when one of them picks it at random,
+// up to a second later. Until then it names few entries to callers, and no peer can confirm its
+// configuration.
 void entry_host::send_introduction(const std::string& newcomer, time_point now) {
-    gossip_message news = make_gossip_message(now);
+    gossip_message message = make_gossip_message(now);
     for (const std::vector<host_status>& statuses : gossip_.introduction_messages(now)) {
-        news.statuses = statuses;
-        news.is_round = false;
-        datagrams_.send(newcomer, encode_peer_message(news));
-        news.load.clear(); // Once is enough.
-        news.counts.clear();
-        news.beats.clear();
-        news.crashes.clear();
-        news.limits.clear();
+        message.statuses = statuses;
+        message.is_round = false;
+        datagrams_.send(newcomer, encode_peer_message(message));
+        message.load.clear(); // Once is enough for this and the following fields.
+        message.counts.clear();
+        message.beats.clear();
+        message.crashes.clear();
+        message.limits.clear();
     }
 }
 
 void entry_host::send_missing_statuses(const std::string& recipient_address, const std::string& recipient,
                                      const std::vector<host_heartbeat>& beats, time_point now) {
-    gossip_message news;
-    news.statuses = gossip_.statuses_missing_in(beats, recipient, now);
-    if (!news.statuses.empty()) {
-        datagrams_.send(recipient_address, encode_peer_message(news));
+    gossip_message message;
+    message.statuses = gossip_.statuses_missing_in(beats, recipient, now);
+    if (!message.statuses.empty()) {
+        datagrams_.send(recipient_address, encode_peer_message(message));
     }
 }
 
-void entry_host::handle(const std::string&, const load_update& news) {
-    relay_.state().endpoints.change_peer_load(news.sender, to_loads(news.load), monotonic_now());
+void entry_host::handle(const std::string&, const load_update& message) {
+    relay_.state().endpoints.change_peer_load(message.sender, to_loads(message.load), monotonic_now());
 }
 
 std::vector<load_entry> entry_host::own_load() const {
@@ -124,9 +128,8 @@
     return entries;
 }
 
-// Only what has changed: with every endpoint in every message the news of load were a fifth of the bytes
-// between failure domains. A message that is lost is made good by the next round of gossip, which carries
-// everything.
+// Returns only the changes: with every endpoint in every message, load updates made up a fifth of the bytes
+// between failure domains. The next gossip round, which carries the full load, repairs the loss of a message.
 std::vector<load_entry> entry_host::take_load_changes() {
     std::vector<load_entry> changes;
     std::map<std::string, load_entry> sent;
@@ -146,8 +149,9 @@
     return changes;
 }
 
-// Load pattern: several hosts get a long prompt within the same tenth of a second. Told of one another's only
-// with the next round, they send them to the same idle endpoint, where the last waits for all.
+// Load pattern: several hosts receive a long prompt within the same tenth of a second. If they learn of each
+// other's load only in the next gossip round, they all choose the same idle endpoint, where the last prompt
+// waits for the others.
 void entry_host::on_load_changed() {
     if (is_load_update_scheduled_) {
         return;
@@ -162,18 +166,18 @@
 void entry_host::send_load_update() {
     const time_point now = monotonic_now();
     const bool is_large = is_large_fleet(now);
-    const load_update news{settings_.name, take_load_changes()};
-    if (news.load.empty()) {
+    const load_update message{settings_.name, take_load_changes()};
+    if (message.load.empty()) {
         return;
     }
-    // On a large fleet only hosts of the same domain share endpoints as a rule.
+    // On a large fleet, usually only hosts of the same failure domain share endpoints.
     std::vector<host_status> peers = gossip_.live(now);
     peers.erase(std::remove_if(peers.begin(), peers.end(),
                                [&](const host_status& peer) {
                                    return is_large && peer.domain != settings_.failure_domain;
                                }),
                 peers.end());
-    send_to_others(peers, encode_peer_message(news));
+    send_to_others(peers, encode_peer_message(message));
 }
 
 void entry_host::send_to_others(const std::vector<host_status>& peers, const std::string& bytes) {
@@ -192,23 +196,23 @@
     }
 }
 
-// At once to everybody: an endpoint may be back within a second, and hosts that do not know that it had ended
-// take it for idle.
+// Sent to all hosts at once: an endpoint may restart within a second, and hosts that do not know of the
+// restart would treat it as idle instead of cold.
 void entry_host::send_refusal_update() {
     const time_point now = monotonic_now();
-    refusal_update news;
+    refusal_update message;
     for (const auto& [endpoint, age] : relay_.state().endpoints.allowance().cold().refused(now)) {
-        if (unsent_refusals_.count(endpoint) > 0 && news.refused.size() < max_refusals_per_message) {
-            news.refused.push_back({endpoint, std::llround(to_ms(age))});
+        if (unsent_refusals_.count(endpoint) > 0 && message.refused.size() < max_refusals_per_message) {
+            message.refused.push_back({endpoint, std::llround(to_ms(age))});
         }
     }
     unsent_refusals_.clear();
-    log_info("endpoints_refused_connections", {{"count", news.refused.size()}});
-    send_to_others(gossip_.live(now), encode_peer_message(news));
+    log_info("endpoints_refused_connections", {{"count", message.refused.size()}});
+    send_to_others(gossip_.live(now), encode_peer_message(message));
 }
 
-void entry_host::handle(const std::string&, const refusal_update& news) {
-    merge_refusals(news.refused);
+void entry_host::handle(const std::string&, const refusal_update& message) {
+    merge_refusals(message.refused);
 }
 
 void entry_host::merge_refusals(const std::vector<refused_endpoint>& refused) {
@@ -216,7 +220,7 @@
     for (const refused_endpoint& each : refused) {
         const duration age = milliseconds(std::max<std::int64_t>(0, each.age_ms));
         relay_.state().endpoints.allowance().cold().on_refused(each.endpoint, age, now);
-        unsent_refusals_.erase(each.endpoint); // All have been told.
+        unsent_refusals_.erase(each.endpoint); // All hosts have been notified already.
     }
 }
 
@@ -246,8 +250,8 @@
     });
 }
 
-// At once to everybody: those that have not heard of a limit send as before, and the sponsors' part comes on
-// top.
+// Sent to all hosts at once: hosts that do not know of a limit keep their rate, which adds to the rate that
+// the sponsors send.
 void entry_host::send_limit_updates() {
     const time_point now = monotonic_now();
     const std::vector<limit_notice> limits = relay_.state().endpoints.allowance().limits().take_untold(now);
@@ -260,8 +264,8 @@
     }
 }
 
-void entry_host::handle(const std::string&, const limit_update& news) {
-    relay_.take_limit_notices(news.limits);
+void entry_host::handle(const std::string&, const limit_update& message) {
+    relay_.take_limit_notices(message.limits);
 }
 
 void entry_host::assign_trials(time_point now) {
@@ -282,10 +286,11 @@
     });
 }
 
-// Against a request that comes back at another host each time: no host sees three ends. All hear of one that
-// may be quarantined next, at once, since it comes back within a second; on a large fleet only a few count
-// first ends, or the loss of a failure domain would have every host tell every other of thousands of innocent
-// requests.
+// Guards against a request that crashes endpoints and arrives at another host each time, so that no single
+// host sees the three crashes that quarantine it. Requests that may be quarantined next are sent to all hosts
+// at once, because they return within a second. On a large fleet a first crash is sent only to a few hosts
+// that count it; otherwise the loss of a failure domain would make every host notify every other of thousands
+// of innocent requests.
 void entry_host::send_crash_updates() {
     const time_point now = monotonic_now();
     const crash_quarantine::untold untold = relay_.state().quarantine.take_untold(now);
@@ -311,15 +316,16 @@
     for (const host_status& peer : live) {
         const auto kept = by_keeper.find(peer.name);
         if (kept != by_keeper.end()) {
-            // After the loss of a domain there may be more; the rest counts again if it breaks once more.
+            // After the loss of a failure domain there may be more notices. The rest is dropped; those
+            // requests are counted again if an endpoint crashes under them once more.
             kept->second.resize(std::min(kept->second.size(), max_crashes_per_message));
             send_to_others({peer}, encode_peer_message(crash_update{kept->second}));
         }
     }
 }
 
-void entry_host::handle(const std::string&, const crash_update& news) {
-    relay_.take_crash_notices(news.crashes);
+void entry_host::handle(const std::string&, const crash_update& message) {
+    relay_.take_crash_notices(message.crashes);
 }
 
 void entry_host::handle(const std::string& from, const freshness_question& question) {
@@ -348,19 +354,19 @@
 }
 
 gossip_message entry_host::make_gossip_message(time_point now) {
-    gossip_message news;
-    news.is_round = true;
-    news.statuses = gossip_.statuses_to_send(now);
-    news.beats = encode_heartbeats(gossip_.heartbeats_to_send(now));
-    news.load = own_load();
+    gossip_message message;
+    message.is_round = true;
+    message.statuses = gossip_.statuses_to_send(now);
+    message.beats = encode_heartbeats(gossip_.heartbeats_to_send(now));
+    message.load = own_load();
     if (!is_large_fleet(now)) {
-        news.counts = rollouts_.own_counts();
+        message.counts = rollouts_.own_counts();
     }
-    news.rollouts = rollouts_.own_news(now);
-    news.refused = known_refusals(now);
-    news.crashes = relay_.state().quarantine.known(max_crashes_per_round, now);
-    news.limits = relay_.state().endpoints.allowance().limits().next_known(max_limits_per_round, now);
-    return news;
+    message.rollouts = rollouts_.own_news(now);
+    message.refused = known_refusals(now);
+    message.crashes = relay_.state().quarantine.known(max_crashes_per_round, now);
+    message.limits = relay_.state().endpoints.allowance().limits().next_known(max_limits_per_round, now);
+    return message;
 }
 
 void entry_host::gossip_round() {
@@ -376,8 +382,8 @@
     send_copy_notice(notice_scope::round);
 }
 
-// To everybody at once: a caller's next request may come to any host, and one that has not heard of its
-// session would move it to another release.
+// Sent to all hosts at once: a caller's next request may arrive at any host, and a host that does not know of
+// its session would move the session to another release.
 void entry_host::send_session_update(time_point now) {
     const std::vector<session_use> uses = rollouts_.take_session_news(now);
     if (uses.empty()) {
@@ -386,12 +392,13 @@
     send_to_others(gossip_.live(now), encode_peer_message(session_update{uses}));
 }
 
-void entry_host::handle(const std::string&, const session_update& news) {
-    rollouts_.merge_sessions(news.uses, monotonic_now());
+void entry_host::handle(const std::string&, const session_update& message) {
+    rollouts_.merge_sessions(message.uses, monotonic_now());
 }
 
-// Against withdrawn keys at a host that the store does not serve while it serves others: a peer that has
-// heard from the store can say that the configuration held here was still the newest.
+// Asks peers when this host's configuration is stale because the store does not serve this host although it
+// serves others. A peer that the store has answered can confirm that the configuration held here is still the
+// newest, or name a newer one, in which keys may have been withdrawn.
 void entry_host::check_freshness() {
     const time_point now = monotonic_now();
     for (auto item = open_questions_.begin(); item != open_questions_.end();) {
--- a/src/host/entry_host_rollouts.cpp
+++ b/src/host/entry_host_rollouts.cpp
@@ -1,4 +1,5 @@
-// How entry hosts carry out roll-outs together: who decides, what those hear, and who reports.
+// How entry hosts carry out roll-outs together: which hosts decide, what they base it on, and which host
+// reports.
 #include "host/entry_host.h"
 
 #include <algorithm>
@@ -7,24 +8,27 @@
 
 namespace {
 
-/// A host that has not reported by then is taken for dead or cut off, and the next one does: the report is
-/// due 0.5 s before the time limit. At 0.6 s the second host of a small fleet was too late.
+/// If a host has not reported after this time, it is assumed to be dead or unreachable and the next host
+/// reports. The report is due 0.5 s before the time limit; with 0.6 s the second host of a small fleet was
+/// too late.
 constexpr duration reporter_takeover_delay = milliseconds(250);
-/// Hosts that are asked to write a report; most of them reach a store that turns away a third.
+/// Hosts that are asked to write a report. Most of them are served even if the store refuses a third of the
+/// hosts.
 constexpr std::size_t handover_hosts = 3;
-/// Until the store's own news of a report is here, which readers of a large fleet gather for 0.8 s. Without
-/// it each report was written three times.
+/// Time until the store's watch confirms a written report, including the 0.8 s for which readers of a large
+/// fleet batch changes. Without this pause each report was written three times.
 constexpr duration report_confirmation_time = milliseconds(1200);
-/// Counts that decide on a roll-out go to those that decide in every second round: 295 hosts send each of
-/// them 370 messages a second.
+/// Counts are sent to the hosts that decide on roll-outs in every second gossip round. At this rate 295 hosts
+/// send each of them 370 messages a second.
 constexpr std::uint64_t rounds_between_counts = 2;
-/// Counts that have not changed go again in every fourth round: another host may decide now, or the message
-/// was lost.
+/// Unchanged counts are sent again in every fourth gossip round, because another host may decide by now or
+/// the message may have been lost.
 constexpr std::uint64_t rounds_between_repeats = 4;
-/// For the counts of every second round, and a message lost.
+/// Time in which the counts of all hosts arrive at a host that has begun to decide: two gossip rounds, and as
+/// many again for a lost message.
 constexpr duration count_collection_time = milliseconds(1700);
 
-/// Within this after the store has dropped its history everything has been listed anew.
+/// Time within which all objects have been listed again after the store has dropped its history.
 constexpr duration relisting_time = milliseconds(1000);
 
 } // namespace
@@ -45,10 +49,10 @@
     send_copy_notice(notice_scope::change);
 }
 
-// Load pattern: 295 hosts, each of which tells three others of its counts every 0.4 s. Everyone had heard of
-// half of the others at the end of a roll-out of 24 s, and took the counts of each that it heard of for the
-// first time for a burst, so that a good release was not moved in time. So all send theirs to the few that
-// decide.
+// Load pattern: 295 hosts, each of which sends its counts to three others every 0.4 s. At the end of a
+// roll-out of 24 s every host had received the counts of half of the others, and it mistook the first counts
+// of each for a burst of requests, so that a good release was not moved in time. All hosts therefore send
+// their counts to the few hosts that decide.
 void entry_host::send_counts_when_due(time_point now) {
     const bool is_due = ++rounds_ % rounds_between_counts == 0;
     if (!is_due || !is_large_fleet(now) || !rollouts_.is_open()) {
@@ -61,9 +65,9 @@
     send_counts(counts, now);
 }
 
-// Against a bad release that is reported complete: a release that fails only under everybody's load gave 50
-// bad answers in the second after the move, and the report was made on counts that were 0.8 s old. At each
-// look, a quarter of a second apart, they are there in time.
+// Guards against reporting a bad release as complete. A release that fails only under the full load gave 50
+// bad answers in the second after all requests were moved to it, but the report was based on counts that were
+// 0.8 s old. Called every quarter of a second, this sends changed counts in time.
 void entry_host::send_counts_while_settling(time_point now) {
     if (!is_large_fleet(now) || !rollouts_.is_settling()) {
         return;
@@ -80,11 +84,11 @@
     send_to_others(select_readers(gossip_.live(now)), encode_peer_message(count_update{reporter, counts}));
 }
 
-void entry_host::handle(const std::string&, const count_update& news) {
-    rollouts_.merge(news.reporter, news.counts, {}, monotonic_now());
+void entry_host::handle(const std::string&, const count_update& message) {
+    rollouts_.merge(message.reporter, message.counts, {}, monotonic_now());
 }
 
-// Those that read the store hear of everything; on a small fleet these are all.
+// Hosts that read the store receive the counts of all hosts; on a small fleet these are all hosts.
 void entry_host::update_deciding_role(time_point now) {
     if (!reads_everything()) {
         hears_all_since_.reset();
@@ -94,8 +98,8 @@
     rollouts_.set_hears_all(hears_all_since_ && now - *hears_all_since_ > count_collection_time);
 }
 
-// A brake or a move at once to everybody: from hand to hand it takes two seconds among 295 hosts, in which a
-// bad release goes on getting requests, and a good one is moved late.
+// Sends a brake or a move to all hosts at once. By gossip alone it takes two seconds among 295 hosts, in
+// which a bad release continues to receive requests and a good one is moved late.
 void entry_host::send_new_decisions(time_point now) {
     std::vector<rollout_news> decisions = rollouts_.own_news(now);
     for (rollout_news& decision : decisions) {
@@ -104,15 +108,15 @@
     const bool is_new = decisions != last_sent_decisions_;
     last_sent_decisions_ = std::move(decisions);
     if (is_new && reads_everything() && is_large_fleet(now)) {
-        gossip_message news;
-        news.statuses = {gossip_.self()};
-        news.rollouts = rollouts_.own_news(now);
-        send_to_others(gossip_.live(now), encode_peer_message(news));
+        gossip_message message;
+        message.statuses = {gossip_.self()};
+        message.rollouts = rollouts_.own_news(now);
+        send_to_others(gossip_.live(now), encode_peer_message(message));
     }
 }
 
-// 0 is the one that reports first.
-std::size_t entry_host::place_among_reporters(time_point now) const {
+// Returns 0 for the host that reports first.
+std::size_t entry_host::reporter_position(time_point now) const {
     const std::vector<host_status>& hosts = gossip_.live(now);
     if (is_large_fleet(now)) {
         return find_reader_position(settings_.name, hosts).overall;
@@ -127,8 +131,9 @@
     return place;
 }
 
-// Any host that hears everything may report: the write holds only at the revision that the decision was made
-// on, so that one that was paused meanwhile changes nothing. One host at a time saves calls.
+// Any host that receives all counts may report. The write is conditional on the revision on which the
+// decision was based, so a host that was paused meanwhile changes nothing. Only one host at a time reports,
+// to save calls.
 void entry_host::advance_rollouts() {
     const time_point now = monotonic_now();
     std::map<std::string, time_point> still_due;
@@ -136,7 +141,7 @@
         const std::string key = due.order.service + "/" + to_string(due.state);
         const auto known = due_since_.find(key);
         still_due[key] = known == due_since_.end() ? now : known->second;
-        if (now - still_due[key] >= reporter_takeover_delay * place_among_reporters(now)) {
+        if (now - still_due[key] >= reporter_takeover_delay * reporter_position(now)) {
             report(due);
         }
     }
@@ -145,8 +150,8 @@
 }
 
 void entry_host::report(const rollout_report& due) {
-    // Those that go by copies see the report confirmed later than the others' patience lasts, and 295 of
-    // them would write it each.
+    // Hosts that use copies see a report confirmed only after the takeover delay, so that each of 295 hosts
+    // would write it.
     if (!reads_everything()) {
         return;
     }
@@ -173,12 +178,12 @@
                           codec_.rollout_status(order, state), std::move(done));
 }
 
-// Against a store that turns away just the hosts that decide: a sound release was reported after its time
-// limit, when others had become readers. The write is conditional, so that several may try it.
+// Guards against a store that refuses exactly the hosts that decide. A good release was then reported after
+// its time limit, when other hosts had become readers. The write is conditional, so several hosts may try it.
 void entry_host::hand_over_report(const rollout_report& due) {
     const time_point now = monotonic_now();
     const bool is_needed =
-        is_large_fleet(now) && due.state != rollout_state::running; // Of a small one all decide.
+        is_large_fleet(now) && due.state != rollout_state::running; // On a small fleet all hosts decide.
     if (!is_needed || !handed_over_.insert(due.order.revision).second) {
         return;
     }
--- a/src/host/host.h
+++ b/src/host/host.h
@@ -1,5 +1,6 @@
 /** \file
- * The one public header of the host library: an entry host on the users' platform.
+ * The one public header of the host library: an entry host on the users' platform, and the messages between
+ * entry hosts.
  */
 #pragma once
 
--- a/src/host/peer_messages.cpp
+++ b/src/host/peer_messages.cpp
@@ -11,7 +11,7 @@
     const char* code;
 };
 
-/// Codes are never given to another field. A field without one goes by its name.
+/// A code is never reused for another field. A field without a code is sent under its name.
 constexpr field_code field_codes[] = {
     {"statuses", "s"},       {"load", "l"},        {"counts", "c"},
     {"rollouts", "r"},       {"name", "n"},        {"gossip_address", "g"},
--- a/src/host/peer_messages.h
+++ b/src/host/peer_messages.h
@@ -1,7 +1,7 @@
 /** \file
- * Defines the datagrams between entry hosts (CBOR). A field that is missing takes its default, so that an
- * older and a newer host understand each other. On the wire each field goes by a short
- * code: bytes between failure domains cost, and most names are longer than what they name.
+ * Defines the datagrams between entry hosts, encoded as CBOR. A missing field takes its default, so that
+ * hosts of different releases understand each other. On the wire each field name is replaced by a short code,
+ * because traffic between failure domains costs money and most field names are longer than their values.
  */
 #pragma once
 
@@ -12,42 +12,43 @@
 
 namespace laurelhoist {
 
-/** Work in flight at one endpoint, by the sender. */
+/** The sender's requests in flight at one endpoint. */
 struct load_entry {
     std::string endpoint;
-    std::int64_t reading_ms = 0; ///< \see endpoint_load::reading_ms; whole, which takes a third of the bytes
+    std::int64_t reading_ms = 0; ///< \ref endpoint_load::reading_ms, rounded: takes a third of the bytes
     int running = 0;
 };
 LAUREL_VALUE_TYPE(load_entry, endpoint, reading_ms, running)
 
-/** An endpoint at which nothing listened. */
+/** An endpoint that refused a connection because nothing listened at its address. */
 struct refused_endpoint {
     std::string endpoint;
-    std::int64_t age_ms = 0; ///< since it was tried
+    std::int64_t age_ms = 0; ///< time since the refused attempt
 };
 LAUREL_VALUE_TYPE(refused_endpoint, endpoint, age_ms)
 
-/** What a host tells a few others, a few times a second. */
+/** The gossip message that a host sends to a few others a few times a second. */
 struct gossip_message {
-    std::vector<host_status> statuses; ///< the sender's first
+    std::vector<host_status> statuses; ///< the sender's own status comes first
     std::vector<load_entry> load;
     std::vector<release_counts> counts;
     std::vector<rollout_news> rollouts;
-    std::string beats{};   ///< \ref encode_heartbeats
-    bool is_round = false; ///< part of a round: the beats are of all that the sender knows
+    std::string beats{};   ///< heartbeats, encoded by \ref encode_heartbeats
+    bool is_round = false; ///< sent in a gossip round: \ref beats names all hosts that the sender knows
     std::vector<refused_endpoint> refused{};
-    std::vector<crash_notice> crashes{}; ///< \ref crash_quarantine::known
-    std::vector<limit_notice> limits{};  ///< \ref rate_limits::next_known
+    std::vector<crash_notice> crashes{}; ///< from \ref crash_quarantine::known
+    std::vector<limit_notice> limits{};  ///< from \ref rate_limits::next_known
 };
 LAUREL_VALUE_TYPE(gossip_message, statuses, load, counts, rollouts, beats, is_round, refused, crashes, limits)
 
-/** Asks a peer how recently it knows its configuration to be the newest. */
+/** Asks a peer how recently its configuration was confirmed to be the newest. */
 struct freshness_question {
     std::int64_t nonce = 0;
 };
 LAUREL_VALUE_TYPE(freshness_question, nonce)
 
-/** The peer's answer; the age counts from when it was given, so the asker adds it to the moment of asking. */
+/** The answer to a \ref freshness_question. The age counts from when the peer answered. The asker subtracts
+ * it from the time at which it asked, which is earlier, so that the result is never too recent. */
 struct freshness_answer {
     std::int64_t nonce = 0;
     std::int64_t config_revision = 0;
@@ -55,15 +56,15 @@
 };
 LAUREL_VALUE_TYPE(freshness_answer, nonce, config_revision, age_us)
 
-/** Work in flight at the endpoints, by the sender, as far as it has changed since the message before; all of
- * it comes with \ref gossip_message. */
+/** The sender's requests in flight at the endpoints where they have changed since its previous message. A
+ * \ref gossip_message carries those at all endpoints. */
 struct load_update {
     std::string sender;
     std::vector<load_entry> load;
 };
 LAUREL_VALUE_TYPE(load_update, sender, load)
 
-/** Says how new the sender's copies of the store are; whoever holds older ones asks the sender for them. */
+/** The revisions of the sender's copies of the store. A recipient with older copies fetches the sender's. */
 struct copy_notice {
     std::int64_t config_revision = 0;
     std::int64_t endpoint_revision = 0;
@@ -72,41 +73,43 @@
 };
 LAUREL_VALUE_TYPE(copy_notice, config_revision, endpoint_revision, rollout_revision, evacuation_revision)
 
-/** Says which sessions the sender has served on an old release lately. */
+/** The sessions that the sender has recently served on an old release. */
 struct session_update {
     std::vector<session_use> uses;
 };
 LAUREL_VALUE_TYPE(session_update, uses)
 
-/** What a host of a large fleet has seen of releases, for those that decide on roll-outs. */
+/** The answers that a host of a large fleet has counted for each release, for the hosts that decide on
+ * roll-outs. */
 struct count_update {
-    std::string reporter; ///< name and incarnation of the sender
+    std::string reporter; ///< name and incarnation of the sender, "name/incarnation"
     std::vector<release_counts> counts;
 };
 LAUREL_VALUE_TYPE(count_update, reporter, counts)
 
-/** Endpoints that were found to have ended: when they are back they are cold. */
+/** Endpoints whose processes were found to have ended. They are cold when they return. */
 struct refusal_update {
     std::vector<refused_endpoint> refused;
 };
 LAUREL_VALUE_TYPE(refusal_update, refused)
 
-/** A report on a roll-out that the sender, which decides, cannot write: the store does not serve it. */
+/** A report on a roll-out that the sender has decided on but cannot write, because the store does not serve
+ * the sender. */
 struct report_handover {
     std::string service;
     std::string release;
     rollout_state state = rollout_state::running;
-    std::int64_t revision = 0; ///< \ref rollout_order::revision
+    std::int64_t revision = 0; ///< \ref rollout_order::revision, for the conditional write
 };
 LAUREL_VALUE_TYPE(report_handover, service, release, state, revision)
 
-/** Requests under which endpoints ended, as soon as it is known. */
+/** Requests during which endpoints crashed, sent as soon as that is known. */
 struct crash_update {
     std::vector<crash_notice> crashes;
 };
 LAUREL_VALUE_TYPE(crash_update, crashes)
 
-/** Limits of endpoints, as soon as an answer has named or lifted them. */
+/** Rate limits of endpoints, sent as soon as an answer has stated or lifted them. */
 struct limit_update {
     std::vector<limit_notice> limits;
 };
@@ -118,7 +121,7 @@
 
 /** \return the bytes of \p message. */
 std::string encode_peer_message(const peer_message& message);
-/** \return the message in \p bytes, or nothing if they are none. */
+/** \return the message in \p bytes, or nothing if they are not a valid message. */
 std::optional<peer_message> decode_peer_message(const std::string& bytes);
 
 } // namespace laurelhoist
--- a/src/membership/endpoint_roster.cpp
+++ b/src/membership/endpoint_roster.cpp
@@ -54,7 +54,7 @@
     std::vector<endpoint_record> kept;
     const auto keep_if_missing = [&](const std::vector<endpoint_record>& endpoints) {
         for (const endpoint_record& endpoint : endpoints) {
-            // One that had said it was leaving has left.
+            // An endpoint that announced that it is leaving has left.
             if (endpoint.state == "live" && names.insert(endpoint.name).second) {
                 kept.push_back(endpoint);
             }
--- a/src/membership/entry_directory.cpp
+++ b/src/membership/entry_directory.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 struct ranked_entry {
-    std::size_t domain_rank = 0;
+    std::size_t domain_rank = 0; ///< rank within its failure domain
     std::uint64_t score = 0;
     const entry_record* entry = nullptr;
 };
--- a/src/membership/evacuation_set.h
+++ b/src/membership/evacuation_set.h
@@ -9,8 +9,8 @@
 
 namespace laurelhoist {
 
-/** Failure domains whose endpoints get no requests until operators take the order back. What runs there
- * finishes; what waits, is repeated or goes on elsewhere counts as new. */
+/** Failure domains whose endpoints get no new requests until operators withdraw the order. Requests that
+ * already run there finish. Requests that are queued, retried or resumed elsewhere count as new. */
 struct evacuation_set {
     std::set<std::string> domains;
     bool contains(const std::string& domain) const { return domains.count(domain) > 0; }
--- a/src/membership/freshness.h
+++ b/src/membership/freshness.h
@@ -1,6 +1,6 @@
 /** \file
- * Defines how an entry knows that its configuration is the latest: the guard behind "a withdrawn version
- * receives no new work" on a host that is cut off or was paused.
+ * Defines how an entry knows that its configuration is the latest. On a host that is partitioned or was
+ * paused, this check guarantees that a withdrawn version receives no new work.
  */
 #pragma once
 
@@ -8,19 +8,19 @@
 
 namespace laurelhoist {
 
-/** An entry serves while its revision was confirmed within this time. Any change is therefore in force
- * everywhere this long after it was accepted, whether or not a host can be reached. */
+/** An entry serves only while its revision was confirmed within this time. An accepted change is therefore in
+ * force everywhere this long after its acceptance, whether or not every host can be reached. */
 constexpr duration freshness_limit = seconds(3);
 
 /** The confirmations that an entry has received. */
 class freshness {
 public:
     /** Notes that a steward confirmed \p revision as the latest.
-     * \param asked_at when the entry sent the question, on its own clock: the answer can only be newer
+     * \param asked_at when the entry sent the question, by its own clock; the answer cannot be older
      * \param evidence_age how old the steward's own evidence was when it answered */
     void on_confirmation(time_point asked_at, duration evidence_age, std::int64_t revision);
 
-    /** Notes that \p revision exists, from whoever knows: a node with an older one is not fresh any more. */
+    /** Notes that \p revision exists, from any source. A node with an older revision is no longer fresh. */
     void on_known_revision(std::int64_t revision);
     /** \return whether a node that holds \p revision may serve at \p now. */
     bool is_fresh(time_point now, std::int64_t revision) const;
--- a/src/membership/host_gossip.cpp
+++ b/src/membership/host_gossip.cpp
@@ -10,21 +10,23 @@
 namespace {
 
 constexpr std::size_t targets_per_round = 3;
-constexpr std::size_t own_domain_targets = 2;   ///< of these, on a large fleet, in the own failure domain
-constexpr std::size_t max_statuses_per_message = 12; ///< in one message, so that it fits a packet of 1,400 bytes or two
-/// Of all hosts, those that one message speaks of: enough for a beat to reach everybody within three rounds.
-/// With all of them in each message, gossip was a quarter of the bytes between the domains of an 8-host
-/// fleet.
+constexpr std::size_t own_domain_targets = 2;   ///< targets in the own failure domain, on a large fleet
+constexpr std::size_t max_statuses_per_message = 12; ///< fits one or two packets of 1,400 bytes
+/// On a small fleet a message describes one of this many hosts, which is enough for a heartbeat to reach all
+/// hosts within three rounds. With all hosts in each message, gossip made up a quarter of the bytes between
+/// the failure domains of an 8-host fleet.
 constexpr std::size_t hosts_per_status = 6;
 constexpr std::size_t min_statuses_per_message = 4;
-/// On a large fleet a host passes a change on in so many messages: with three to a round and each of them
-/// going on from the next host, all 400 have heard of it well before.
+/// On a large fleet a host forwards a changed status in at most this many messages before other statuses take
+/// precedence. With three messages a round, each forwarded by its recipients, all of 400 hosts have received
+/// the change well before.
 constexpr std::size_t max_times_sent = 24;
 constexpr std::size_t heartbeat_bytes = 8;
-/// A host that has fallen silent may count as live for this much longer.
+/// How long the list of live hosts is cached; a host that has become silent may be listed for this much
+/// longer.
 constexpr duration live_cache_time = milliseconds(100);
-constexpr std::uint64_t rounds_between_seeds = 8;
-constexpr duration dead_host_retention = seconds(30);
+constexpr std::uint64_t rounds_between_seeds = 8; ///< every so many rounds a seed is contacted as well
+constexpr duration dead_host_retention = seconds(30); ///< how long a silent host is remembered
 
 bool is_newer(const host_status& left, const host_status& right) {
     return std::tie(left.incarnation, left.beat) > std::tie(right.incarnation, right.beat);
@@ -94,7 +96,8 @@
     for (const host_status& peer : random_peers_by_domain(own_domain_targets, targets_per_round - own_domain_targets, now)) {
         targets.push_back(peer.gossip_address);
     }
-    // Now and then a seed as well: two groups that have lost each other meet again there.
+    // A seed is contacted in every few rounds as well, so that two groups that a partition has separated find
+    // each other again.
     const bool is_alone = targets.size() < targets_per_round;
     if (!seeds_.empty() && (is_alone || rounds_ % rounds_between_seeds == 0)) {
         const std::string& seed = seeds_[random_.below(seeds_.size())];
@@ -116,7 +119,7 @@
     }
     shuffle(candidates, random_);
     if (is_large) {
-        // What has been told often enough takes turns by chance, however often that was.
+        // Statuses that were sent often enough rank equally, so that they alternate at random.
         const auto capped_times_sent = [](const peer_status* peer) { return std::min(peer->times_sent, max_times_sent); };
         std::stable_sort(candidates.begin(), candidates.end(),
                          [&](const auto* l, const auto* r) { return capped_times_sent(l) < capped_times_sent(r); });
@@ -149,8 +152,8 @@
     return beats;
 }
 
-// Load pattern: 295 hosts start at once and know three of them. Told of twelve others in each message, drawn
-// by those that do not know what the reader lacks, some knew 23 hosts after 16 s.
+// Load pattern: 295 hosts start at once and know three of them. When each message described twelve hosts,
+// drawn without knowledge of what the recipient lacks, some hosts knew only 23 others after 16 s.
 std::vector<host_status> host_gossip::statuses_missing_in(const std::vector<host_heartbeat>& beats,
                                                           const std::string& recipient, time_point now) {
     if (!is_large_fleet(now)) {
@@ -173,8 +176,9 @@
     return statuses;
 }
 
-// Against a time of day that jumped back before a restart: the new process counts as older than the one that
-// has ended, and nobody listens to it until that one is forgotten. Told of its own past, it moves beyond it.
+// Guards against a wall clock that jumped back before a restart. The new process would count as older than
+// the one that has ended, and its statuses would be ignored until the peers forget that one. When a peer
+// sends the status of the earlier process, the new one raises its incarnation above it.
 void host_gossip::raise_incarnation_above(const host_status& earlier_process) {
     if (earlier_process.incarnation > self_.incarnation) {
         log_warning("incarnation_raised", {{"from", self_.incarnation}, {"past", earlier_process.incarnation}});
@@ -237,7 +241,7 @@
         }
         peer_status& peer = found->second->second;
         const bool is_same_process = static_cast<std::uint16_t>(peer.status.incarnation) == heartbeat.incarnation;
-        // Of numbers that wrap around, the newer one is ahead by less than half of the range.
+        // The counter wraps around: the newer value is ahead by less than half of the range.
         const auto ahead =
             static_cast<std::int16_t>(heartbeat.beat - static_cast<std::uint16_t>(peer.status.beat));
         if (is_same_process && ahead > 0) {
@@ -319,7 +323,7 @@
         }
     }
     std::vector<host_status> chosen = random_sample(own_domain_hosts, own_domain);
-    // As many as were asked for, where this domain has too few.
+    // Hosts of other domains fill up the number if the own domain has too few.
     const std::vector<host_status> from_other_domains = random_sample(other_hosts, own_domain + other_domains - chosen.size());
     chosen.insert(chosen.end(), from_other_domains.begin(), from_other_domains.end());
     return chosen;
--- a/src/membership/host_gossip.h
+++ b/src/membership/host_gossip.h
@@ -1,14 +1,15 @@
 /** \file
- * Defines how the entry hosts know of one another: each passes on what it knows to a few others at random, a
- * few times a second. No host is special, and any that lives can bring a new one in.
+ * Defines the gossip protocol by which entry hosts learn of one another: each host sends what it knows to a
+ * few randomly chosen peers a few times a second. All hosts are equal, and any live host can introduce a new
+ * one.
  *
- * Load pattern: 295 hosts. A message that speaks of twelve of them brings news of a given one every 3.3 s,
- * more than the silence after which it counts as dead, so every host took half of the others for dead at any
- * moment. So on a large fleet a message carries everybody's beat in eight bytes each, and in full only those
- * of whom there is something to tell.
+ * Load pattern: 295 hosts. If a message describes twelve hosts, news of a given host arrives every 3.3 s,
+ * which is longer than the failure timeout, and at any moment every host considers half of the others dead.
+ * On a large fleet a message therefore carries an eight-byte heartbeat of every live host, and the full
+ * status only of hosts whose status has changed recently and of a few others.
  *
- * A host is alive while its beat goes on rising. A host that stops says so itself and is out of every answer
- * to callers at once; one that dies without a word is out after \ref failure_timeout.
+ * A host is alive while its heartbeat counter rises. A host that stops announces it and is removed from
+ * answers to callers at once; a host that crashes is removed after \ref failure_timeout.
  */
 #pragma once
 
@@ -19,89 +20,100 @@
 
 namespace laurelhoist {
 
-/** Up to so many hosts know everything of one another at first hand, or as good as. */
+/** Up to this many hosts, each host hears from the others directly or almost directly. A larger fleet uses
+ * heartbeats and lets a few hosts read the store for all. */
 constexpr std::size_t max_small_fleet_hosts = 10;
 
-/** What a host says of itself. A later incarnation goes before an earlier, a higher beat before a lower. */
+/** What a host announces about itself. The status with the higher incarnation is newer; of two statuses with
+ * the same incarnation, the one with the higher beat is newer. */
 struct host_status {
     std::string name;
-    std::string gossip_address; ///< datagrams, ip:port
-    std::string entry_address;  ///< callers, ip:port
+    std::string gossip_address; ///< for datagrams from other hosts, ip:port
+    std::string entry_address;  ///< for callers, ip:port
     std::string domain;
-    std::int64_t incarnation = 0;
-    std::int64_t beat = 0;
+    std::int64_t incarnation = 0; ///< of its process; normally higher after a restart
+    std::int64_t beat = 0;        ///< heartbeat counter, raised in each gossip round
     std::string state = "starting"; ///< "starting", "serving" or "leaving"
     std::int64_t config_revision = 0;
 };
 LAUREL_VALUE_TYPE(host_status, name, gossip_address, entry_address, domain, incarnation, beat, state,
                   config_revision)
 
-/// A beat rises at least every 0.4 s, and some newer one reaches everybody in nearly every round; this allows
-/// for lost ones and for a host that is slow for a moment.
+/// A host counts as dead when its heartbeat counter has not risen for this long. The counter rises at least
+/// every 0.4 s, and a newer value reaches every host in nearly every round; the rest allows for lost messages
+/// and for hosts that are slow for a moment.
 constexpr duration failure_timeout = milliseconds(2500);
 
-/** That a host lives, in eight bytes: enough for one that holds its \ref host_status already. */
+/** Says in eight bytes that a host is alive, to a recipient that already holds its \ref host_status. */
 struct host_heartbeat {
     std::uint32_t host = 0;        ///< \ref host_name_hash of its name
-    std::uint16_t incarnation = 0; ///< lowest bits
-    std::uint16_t beat = 0;        ///< lowest bits
+    std::uint16_t incarnation = 0; ///< lowest 16 bits of \ref host_status::incarnation
+    std::uint16_t beat = 0;        ///< lowest 16 bits of \ref host_status::beat
 };
 LAUREL_VALUE_TYPE(host_heartbeat, host, incarnation, beat)
 
-/** \return by what a beat names the host \p name */
+/** \return the hash that identifies the host \p name in a heartbeat. */
 std::uint32_t host_name_hash(const std::string& name);
-/** \return \p beats as bytes, to go in one field of a message */
+/** \return \p beats as bytes, for one field of a message. */
 std::string encode_heartbeats(const std::vector<host_heartbeat>& beats);
-/** \return the beats in \p bytes; of bytes that are none, as many as are whole */
+/** \return the heartbeats in \p bytes; an incomplete one at the end is ignored. */
 std::vector<host_heartbeat> decode_heartbeats(const std::string& bytes);
 
 class host_gossip {
 public:
     host_gossip(host_status self, std::uint64_t seed);
 
-    /** Sets gossip addresses to try when nobody is known. */
+    /** Sets gossip addresses to contact while few hosts are known, and in every eighth round. */
     void set_seeds(std::vector<std::string> addresses) { seeds_ = std::move(addresses); }
     void set_state(const std::string& state) { self_.state = state; }
     void set_config_revision(std::int64_t revision) { self_.config_revision = revision; }
 
-    /** Raises the beat and picks whom to tell. \return gossip addresses */
+    /** Begins a gossip round: raises the heartbeat counter and picks the recipients.
+     * \return their gossip addresses */
     std::vector<std::string> next_targets(time_point now);
-    /** \return this host and some of the others, for one message: first those that have been told least often
-     * since they last changed. */
+    /** \return the statuses of this host and of some random live peers, for one message. On a large fleet,
+     * peers whose status has been sent least often since it changed come first. */
     std::vector<host_status> statuses_to_send(time_point now);
-    /** \return on a large fleet the beats of all live hosts, for one message; empty on a small one, where
-     * \ref statuses_to_send carries enough of them. */
+    /** \return the heartbeats of all other live hosts, for one message; empty on a small fleet, where
+     * \ref statuses_to_send covers enough hosts. */
     std::vector<host_heartbeat> heartbeats_to_send(time_point now) const;
-    /** \return this host and some live ones that \p beats, all that another host knows of, leaves out: for
-     * one message in answer. Empty if there are none, and on a small fleet. */
+    /** \return this host's status and those of some live hosts that are missing in \p beats, for one message
+     * in reply. Empty if none is missing, and on a small fleet.
+     * \param beats all hosts that \p recipient knows
+     * \param recipient name of the host that sent \p beats */
     std::vector<host_status> statuses_missing_in(const std::vector<host_heartbeat>& beats,
                                                  const std::string& recipient, time_point now);
+    /** Takes over the statuses that are newer than those held. A status of this host's own name that has a
+     * higher incarnation makes this host raise its own. */
     void merge(const std::vector<host_status>& statuses, time_point now);
-    /** Takes beats of hosts that are known; the others are left out. */
+    /** Takes over the heartbeats of known hosts that are newer than those held, and ignores the others. */
     void merge_heartbeats(const std::vector<host_heartbeat>& beats, time_point now);
-    /** \return whether this incarnation of a host has been heard of. */
+    /** \return whether the incarnation that \p status names is the one held for this host. */
     bool knows(const host_status& status) const;
-    /** \return all live hosts in messages of the usual size, each with this host first: for one that has just
-     * started and must not wait until somebody picks it at random. */
+    /** \return the statuses of all live hosts, split into messages of the usual size that each begin with
+     * this host. They are sent to a host that has just started, which must not wait until a peer happens to
+     * pick it. */
     std::vector<std::vector<host_status>> introduction_messages(time_point now) const;
 
     const host_status& self() const { return self_; }
-    /** \return the live hosts, this one included, by name; valid until the next call of a member. */
+    /** \return the live hosts, this one included, sorted by name. The reference is valid until the next call
+     * of a member function. */
     const std::vector<host_status>& live(time_point now) const;
     bool is_large_fleet(time_point now) const { return live(now).size() > max_small_fleet_hosts; }
-    /** \return live hosts other than this one, in random order. */
+    /** \return at most \p count live hosts other than this one, in random order. */
     std::vector<host_status> random_peers(std::size_t count, time_point now);
-    /** \return \p near live hosts of this one's failure domain, whose messages cost nothing, and \p any from
-     * everywhere, without which the domains would not hear of one another. On a small fleet all may be from
-     * everywhere. */
+    /** Picks random live peers: on a large fleet \p own_domain hosts of this host's failure domain, within
+     * which messages cost nothing, and \p other_domains hosts of the other domains, which would otherwise not
+     * hear of this one. Hosts of other domains also fill up what the own domain lacks. On a small fleet the
+     * peers are picked regardless of their domain. */
     std::vector<host_status> random_peers_by_domain(std::size_t own_domain, std::size_t other_domains, time_point now);
 
 private:
     struct peer_status {
         host_status status;
         std::uint32_t name_hash = 0; ///< \ref host_name_hash
-        time_point heard_at;    ///< when its beat last rose here
-        std::size_t times_sent = 0;   ///< messages that have carried it since its state or incarnation changed
+        time_point heard_at;         ///< when this host last saw its heartbeat counter rise
+        std::size_t times_sent = 0;  ///< messages that carried it since its state or incarnation changed
     };
     using peers_by_name = std::map<std::string, peer_status>;
 
@@ -113,22 +125,22 @@
 
     host_status self_;
     random_source random_;
-    std::vector<std::string> seeds_;
+    std::vector<std::string> seeds_; ///< gossip addresses, set by \ref set_seeds
     peers_by_name others_;
     std::unordered_map<std::uint32_t, peers_by_name::iterator> by_name_hash_;
     std::uint64_t rounds_ = 0;
-    /// What \ref live gave last: asked for some thirty times a second, it is up to 400 statuses of five
-    /// strings.
+    /// Cached result of \ref live, which is called about thirty times a second and returns up to 400 statuses
+    /// with five strings each.
     mutable std::vector<host_status> live_;
     mutable time_point live_at_;
-    mutable std::size_t own_index_ = 0; ///< in \ref live_
+    mutable std::size_t own_index_ = 0; ///< index of this host in \ref live_
     mutable bool is_live_current_ = false;
 };
 
-/** Picks the addresses for a caller in \p domain, who will use one of them at random: the serving hosts of
- * its own failure domain if there are at least two, because bytes between domains cost and one alone is no
- * alternative; otherwise all serving hosts. Never empty while a host serves.
- * \return at most \p most addresses */
+/** Picks entry addresses for a caller in \p domain, which uses one of them at random. These are the serving
+ * hosts of the caller's own failure domain if there are at least two, because traffic between domains costs
+ * money and a single host leaves the caller no alternative; otherwise all serving hosts.
+ * \return at most \p limit addresses; not empty while a host serves */
 std::vector<std::string> entries_for(const std::string& domain, const std::vector<host_status>& hosts,
                                      std::size_t limit);
 
--- a/src/membership/host_list.cpp
+++ b/src/membership/host_list.cpp
@@ -13,7 +13,8 @@
     const endpoint_record* endpoint = nullptr;
 };
 
-// Ranks within the failure domain first, so that taking the best ranks takes from every domain in turn.
+// Ranks endpoints within their failure domain, so that taking the lowest ranks takes from each domain in
+// turn.
 std::vector<scored_endpoint> rank_by_domain(const std::string& entry,
                                             const std::vector<endpoint_record>& endpoints) {
     std::vector<scored_endpoint> scored;
--- a/src/membership/host_list.h
+++ b/src/membership/host_list.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines the hosts as the platform lists them, late, and the subset of endpoints that one entry uses.
+ * Defines the endpoints as the platform lists them, with a delay, and the subset of them that one entry uses.
  */
 #pragma once
 
@@ -16,26 +16,27 @@
     std::string domain;
     std::string pool;
     std::string state = "live"; ///< "live" or "leaving"
-    std::string release{};      ///< of the software it runs; empty: not said
-    /// Time of day at which its process started, in ms; 0: not said. A higher one under the same name is
-    /// another process, which holds and knows nothing of what the one before did.
+    std::string release{};      ///< of the software it runs; empty: unknown
+    /// Wall clock time at which its process started, in ms; 0: unknown. A higher value under the same name
+    /// denotes another process, which has none of the earlier one's state.
     std::int64_t started_at_ms = 0;
-    /// For how much longer it was cold when it wrote this, in ms: slow, and taking few requests a second.
+    /// Remaining warm-up time when it wrote this entry, in ms. Until then it is cold: slow, and able to take
+    /// only a few requests a second.
     std::int64_t cold_ms = 0;
 };
 LAUREL_VALUE_TYPE(endpoint_record, name, address, domain, pool, state, release, started_at_ms, cold_ms)
 
-/** \return whether \p later is a process that has taken the place of the one that \p earlier names. */
+/** \return whether \p later names a newer process of the same endpoint than \p earlier. */
 inline bool is_restart_of(const endpoint_record& later, const endpoint_record& earlier) {
     return earlier.started_at_ms != 0 && later.started_at_ms > earlier.started_at_ms;
 }
 
-/** \return by what the process of an endpoint is known: a start under the same name is another process. */
+/** \return a hash that identifies one process of an endpoint; it changes when the endpoint restarts. */
 std::uint32_t process_code(const std::string& endpoint, std::int64_t started_at_ms);
 
-/** Picks the endpoints of one pool that \p entry uses: at most \p size, the same on every call, evenly
- * shared out over entries, and over the failure domains as far as each has any.
- * \return all of them if there are no more than \p size */
+/** Picks the endpoints of one pool that \p entry uses. The choice is deterministic, spreads entries evenly
+ * over endpoints, and takes one endpoint from each failure domain in turn while the domain has any left.
+ * \return \p size endpoints, or all of them if there are no more than that */
 std::vector<endpoint_record> choose_subset(const std::string& entry,
                                            const std::vector<endpoint_record>& endpoints, std::size_t size);
 
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -1,6 +1,6 @@
 /** \file
- * The one public header of the membership library: the hosts, how fresh a node's configuration is known
- * to be, which entries callers should use, and which endpoints an entry talks to.
+ * The one public header of the membership library: the live hosts, how recently a node's configuration was
+ * confirmed, which entries callers should use, and which endpoints an entry uses.
  */
 #pragma once
 
--- a/src/membership/revision_evidence.h
+++ b/src/membership/revision_evidence.h
@@ -1,10 +1,10 @@
 /** \file
  * Defines a steward's evidence that no later configuration has been accepted: its own reads of the
- * platform or, while the platform is dark, the answers of a majority of the stewards on the list.
+ * platform or, while the platform is unreachable, the answers of a majority of the stewards on the list.
  *
- * A change is called accepted only when a majority of the stewards hold it. Two majorities of one list
- * share a steward, so a majority that knows of nothing later proves that nothing later was accepted.
- * This is a read of a number that only grows, not a consensus group: no steward's vote creates anything.
+ * A change counts as accepted only when a majority of the stewards hold it. Any two majorities of one list
+ * share a steward, so if a majority knows of no later revision, none has been accepted. This is a quorum
+ * read of a number that only grows, not a consensus protocol: the stewards do not vote on changes here.
  */
 #pragma once
 
@@ -19,14 +19,16 @@
 public:
     explicit revision_evidence(std::string own_incarnation) : own_incarnation_{std::move(own_incarnation)} {}
 
-    /** Notes a read of the head. \param asked_at when the read was sent */
+    /** Notes that the platform returned \p revision as the latest. \param asked_at when the read was sent */
     void on_platform_read(time_point asked_at, std::int64_t revision);
-    /** Notes a peer's answer. \param asked_at when the question was sent */
+    /** Notes that another steward answered that it holds \p revision.
+     * \param incarnation of that steward; an answer of an earlier process does not count
+     * \param asked_at when the question was sent */
     void on_peer_answer(const std::string& incarnation, time_point asked_at, std::int64_t revision);
 
     /** \return the latest time at which \p held is known to have been the latest revision, or nothing if
      * a later one is known or there is no evidence.
-     * \param list the stewards of the head that this steward holds */
+     * \param list the stewards listed in the fleet head that this steward holds */
     std::optional<time_point> confirmed_as_of(time_point now, std::int64_t held,
                                               const std::vector<steward_record>& list) const;
     /** \return how many stewards on \p list hold \p revision or a later one, this one included. */
--- a/src/membership/store_reading.cpp
+++ b/src/membership/store_reading.cpp
@@ -7,32 +7,37 @@
 
 namespace {
 
-constexpr duration max_initial_reading_time = milliseconds(1500); ///< unless the other hosts are known before
-/// In which the hosts of a fleet that starts as a whole hear of one another, so that few take themselves for
-/// readers; one that starts among others hears of them within 50 ms.
+/// A host that starts reads everything until it holds objects of all kinds, but for no longer than this.
+constexpr duration max_initial_reading_time = milliseconds(1500);
+/// Time in which the hosts of a fleet that starts as a whole learn of one another, so that only few consider
+/// themselves readers. A host that starts in a running fleet learns of the others within 50 ms.
 constexpr duration listening_time = milliseconds(1000);
-/// Without confirmation, before keys expire after 5 s. Readers confirm theirs every second, and peers pass
-/// that on within another one and a half.
+/// A host whose configuration has not been confirmed for this long asks the store itself, before its API keys
+/// expire after 5 s. Readers confirm their configuration every second, and peers forward that within another
+/// 1.5 s.
 constexpr duration max_unconfirmed_time = milliseconds(3400);
-/// For each host that comes before in the order of readers. A peer that was answered vouches for the others
-/// within three quarters of a second, in which sixty hosts more have asked.
+/// Added to \ref max_unconfirmed_time for each host that precedes this one in the reader order. A peer that
+/// the store has answered confirms the configuration for the others within 0.75 s, in which about sixty more
+/// hosts have asked.
 constexpr duration confirmation_stagger = milliseconds(12);
-/// A host that the store answers while the readers are turned away looks at everything once; the calls that
-/// it has under way at the end of this go on waiting for news. With 4 s, hosts that were stale for a moment
-/// made 1,700 calls more in 48 s.
+/// A host that the store answers while it refuses the readers reads everything once, for this long. Its calls
+/// in flight at the end of this time go on waiting for changes. With 4 s, hosts whose configuration was stale
+/// for a moment made 1,700 additional calls in 48 s.
 constexpr duration reading_for_others_time = milliseconds(500);
-/// Of the hosts that the store answers after an outage, those that look at everything: enough that some are
-/// served where it turns most away. To look at everything takes each of them some four calls.
+/// Only this many hosts, the first in the reader order, read everything when the store answers them after an
+/// outage: enough that the store serves some of them even if it refuses most hosts. Reading everything takes
+/// about four calls of each host.
 constexpr std::size_t max_hosts_reading_for_others = 48;
-/// A usual configuration comes from a peer within 100 ms. One of 1,800 routes (0.5 MB) that fifty hosts ask
-/// of six takes seconds over links of 10 Mbit/s; the store gives it at once. With 300 ms, 55 of 74 hosts
-/// asked the store at each change: on hosts with an eighth of a core copies take that long now and then.
+/// How long a host waits for a peer's copy of a newer configuration before it reads the store. A usual copy
+/// takes less than 100 ms. A configuration of 1,800 routes (0.5 MB) that fifty hosts request from six takes
+/// seconds over 10 Mbit/s links, while the store delivers it at once. With 300 ms, 55 of 74 hosts asked the
+/// store at each change, because copies sometimes take that long on hosts with an eighth of a core.
 constexpr duration max_copy_delay = milliseconds(500);
-/// Any one may be lost, together with its failure domain. Each more costs a call for every change of an
-/// endpoint.
+/// One of them may be lost together with its failure domain. Each additional reader costs one call for every
+/// change of an endpoint.
 constexpr std::size_t large_fleet_readers = 2;
 
-/// A host that may read, and its place within its domain.
+/// A host that may read the store, with its rank within its failure domain.
 struct candidate {
     std::size_t in_domain = 0;
     std::uint64_t rank = 0;
@@ -46,8 +51,9 @@
     return placement_hash("reader/" + host.name);
 }
 
-/** \return those of \p hosts that do not leave, and \p name in any case, in the order of readers. Those that
- * start count: else of a fleet that starts as a whole, each host would find itself among the first. */
+/** \return the hosts that are not leaving, and the host \p name in any case, in the reader order. Hosts that
+ * are starting are included: otherwise, when a whole fleet starts, each host would find itself among the
+ * first. */
 std::vector<candidate> reader_order(const std::vector<host_status>& hosts, const std::string& name) {
     std::vector<candidate> order;
     for (const host_status& host : hosts) {
--- a/test/host_test.cpp
+++ b/test/host_test.cpp
@@ -6,19 +6,20 @@
 namespace laurelhoist {
 namespace {
 
-TEST(peer_messages, every_kind_survives_its_way) {
-    gossip_message news;
+// A field that is missing from the encoding, or shares its code with another field, would be lost on the way.
+TEST(peer_messages, every_kind_of_message_is_decoded_as_it_was_encoded) {
+    gossip_message gossip;
     host_status status;
     status.name = "h1";
     status.beat = 12;
-    news.statuses = {status};
-    news.load = {{"e1", 4000, 3}};
-    news.counts = {{"pool", "v2", "drafts", 10, 1, 2}};
-    news.rollouts = {{"pool", "v2", 1200, true, 0.05, true}};
-    news.beats = encode_heartbeats({{4'000'000'001U, 65'535, 129}});
-    news.refused = {{"e2", 300}};
-    news.crashes = {{77, {{5, 400, 300}}, -1}};
-    const peer_message messages[] = {news,
+    gossip.statuses = {status};
+    gossip.load = {{"e1", 4000, 3}};
+    gossip.counts = {{"pool", "v2", "drafts", 10, 1, 2}};
+    gossip.rollouts = {{"pool", "v2", 1200, true, 0.05, true}};
+    gossip.beats = encode_heartbeats({{4'000'000'001U, 65'535, 129}});
+    gossip.refused = {{"e2", 300}};
+    gossip.crashes = {{77, {{5, 400, 300}}, -1}};
+    const peer_message messages[] = {gossip,
                                      freshness_question{77},
                                      freshness_answer{77, 40, 1500},
                                      copy_notice{1, 2, 3, 4},
@@ -35,8 +36,9 @@
     }
 }
 
+// A datagram of more than two packets is lost more often, because the loss of any one packet loses all of it.
 TEST(peer_messages, a_usual_message_fits_two_packets) {
-    gossip_message news;
+    gossip_message message;
     for (int i = 0; i < 7; ++i) {
         host_status status;
         status.name = "front-osk-hall1-" + std::to_string(i);
@@ -45,21 +47,24 @@
         status.domain = "osk-hall1";
         status.incarnation = 1783180167117;
         status.beat = 1000;
-        news.statuses.push_back(status);
+        message.statuses.push_back(status);
     }
     constexpr std::size_t two_packets = 2800;
-    EXPECT_LT(encode_peer_message(news).size(), two_packets);
+    EXPECT_LT(encode_peer_message(message).size(), two_packets);
 }
 
-// Load pattern: eight hosts place seven long prompts a second each and tell all others of each. With every
-// endpoint in every message, by name, these were a fifth of the bytes between failure domains.
-TEST(peer_messages, news_of_one_endpoint_are_small) {
-    const load_update news{"front-osk-hall1-1", {{"i-7f3a91c2d4", 320, 5}}};
+// Load pattern: eight hosts place seven long prompts a second each and send a load update to all others for
+// each. With every endpoint in every message, under full field names, these updates made up a fifth of the
+// bytes between failure domains.
+TEST(peer_messages, a_load_update_of_one_endpoint_is_small) {
+    const load_update message{"front-osk-hall1-1", {{"i-7f3a91c2d4", 320, 5}}};
     constexpr std::size_t one_entry = 80;
-    EXPECT_LT(encode_peer_message(news).size(), one_entry);
+    EXPECT_LT(encode_peer_message(message).size(), one_entry);
 }
 
-TEST(peer_messages, a_field_without_a_code_goes_by_its_name) {
+// A host of a later release may send fields that this one does not know; the known ones must still be
+// decoded.
+TEST(peer_messages, a_field_without_a_code_is_sent_under_its_name) {
     json unknown = {{"n", "h1"}, {"a_field_of_later", 7}};
     std::string bytes;
     json::to_cbor(json::array({0, {{"s", json::array({unknown})}}}), bytes);
@@ -68,8 +73,9 @@
     EXPECT_EQ(std::get<gossip_message>(*decoded).statuses.front().name, "h1");
 }
 
-// Anybody who reaches the port can send anything.
-RC_GTEST_PROP(peer_messages, any_bytes_are_a_message_or_nothing, (const std::string& bytes)) {
+// Any process that reaches the port can send arbitrary bytes. Decoding them must neither fail with an
+// exception nor crash.
+RC_GTEST_PROP(peer_messages, arbitrary_bytes_are_decoded_or_rejected, (const std::string& bytes)) {
     quiet_log();
     (void)decode_peer_message(bytes);
 }
--- a/test/membership_test.cpp
+++ b/test/membership_test.cpp
@@ -25,7 +25,9 @@
 
 } // namespace
 
-TEST(freshness, an_older_confirmation_never_lengthens_it) {
+// A delayed confirmation of an older question must not let an entry serve longer than the newest confirmation
+// allows.
+TEST(freshness, an_older_confirmation_does_not_extend_freshness) {
     freshness fresh;
     EXPECT_FALSE(fresh.is_fresh(begin, 5));
     fresh.on_confirmation(begin, milliseconds(200), 5);
@@ -35,16 +37,18 @@
     EXPECT_FALSE(fresh.is_fresh(begin + freshness_limit, 5));
 }
 
-// A steward confirms revision 6 while this entry still holds 5: it must stop serving 5 at once, although
-// the confirmation is as fresh as can be.
-TEST(freshness, a_later_revision_known_ends_it) {
+// A steward confirms revision 6 while this entry still holds 5. The entry must stop serving 5 at once,
+// although the confirmation is recent.
+TEST(freshness, a_confirmed_later_revision_ends_freshness) {
     freshness fresh;
     fresh.on_confirmation(begin, duration{}, 6);
     EXPECT_FALSE(fresh.is_fresh(begin, 5));
     EXPECT_TRUE(fresh.is_fresh(begin, 6));
 }
 
-TEST(freshness, a_revision_heard_of_elsewhere_ends_it) {
+// A host that learns of a later revision must stop serving the older one at once, not when its confirmation
+// expires.
+TEST(freshness, a_later_revision_from_another_source_ends_freshness) {
     freshness fresh;
     fresh.on_confirmation(begin, duration{}, 5);
     fresh.on_known_revision(6);
@@ -52,9 +56,9 @@
     EXPECT_TRUE(fresh.is_fresh(begin, 6));
 }
 
-// The platform is dark and a steward can ask only one of two others: the majority of three (it and that
-// one) is enough; alone it must not confirm, since the other two may have accepted a withdrawal.
-TEST(revision_evidence, a_majority_confirms_while_the_platform_is_dark) {
+// The platform is unreachable and a steward reaches only one of the two others. These two are a majority of
+// three and may confirm. A steward alone must not, because the other two may have accepted a withdrawal.
+TEST(revision_evidence, a_majority_confirms_while_the_platform_is_unreachable) {
     const std::vector<steward_record> list{steward("a"), steward("b"), steward("c")};
     revision_evidence evidence("a#1");
     EXPECT_FALSE(evidence.confirmed_as_of(begin, 3, list).has_value());
@@ -64,7 +68,7 @@
     EXPECT_FALSE(evidence.confirmed_as_of(begin + seconds(1), 3, list).has_value());
 }
 
-// A steward that was restarted has forgotten what it held. Its name is on the list but its incarnation is
+// A restarted steward has lost the revision that it held. Its name is on the list, but its incarnation is
 // new, and its answer must not count.
 TEST(revision_evidence, a_restarted_steward_does_not_count) {
     const std::vector<steward_record> list{steward("a"), steward("b"), steward("c")};
@@ -74,7 +78,8 @@
     EXPECT_EQ(evidence.holders(3, 3, list), 1U);
 }
 
-// Any two majorities of one list share a steward, so a majority that knows of nothing later proves it.
+// Any two majorities of one list share a steward, so a steward that holds an older revision than a majority
+// accepted must not find another majority that confirms it.
 RC_GTEST_PROP(revision_evidence, an_accepted_revision_is_never_missed, ()) {
     const auto count = *rc::gen::inRange<std::size_t>(3, 9);
     std::vector<steward_record> list;
@@ -97,6 +102,8 @@
     RC_ASSERT(!evidence.confirmed_as_of(begin, 1, list).has_value());
 }
 
+// A subset that lies mostly in one failure domain would leave the entry few endpoints when that domain is
+// lost, and one that changes from call to call would make the entry switch endpoints.
 RC_GTEST_PROP(host_list, subsets_are_even_over_domains_and_stable, ()) {
     const auto domains = *rc::gen::inRange(1, 10);
     const auto count = *rc::gen::inRange(domains, 200);
@@ -116,6 +123,8 @@
     }
 }
 
+// Entries choose their subsets independently. An uneven choice would overload some endpoints and leave others
+// unused.
 TEST(host_list, subsets_share_out_the_endpoints) {
     const std::vector<endpoint_record> all = make_endpoints(6100, 9);
     std::map<std::string, int> users;
@@ -132,7 +141,9 @@
     EXPECT_LT(most, 20);
 }
 
-TEST(entry_directory, the_same_session_gets_the_same_entry_and_leavers_move_only_their_own) {
+// A session that changes its entry loses its cached prompt prefix, so a leaving entry must not move other
+// sessions.
+TEST(entry_directory, a_session_keeps_its_entry_and_a_leaving_entry_moves_only_its_own_sessions) {
     std::vector<entry_record> entries;
     for (int i = 0; i < 7; ++i) {
         entries.push_back({"e" + std::to_string(i), "", "a" + std::to_string(i), "d" + std::to_string(i % 4),
@@ -163,6 +174,7 @@
     return {name, "10.0.0.1:80", "d1", "pool", "live", "v1"};
 }
 
+// While the store is reachable, an endpoint that it no longer lists has left, and requests to it would fail.
 TEST(endpoint_roster, an_endpoint_that_is_no_longer_listed_has_left) {
     endpoint_roster roster;
     const time_point now = time_point{} + seconds(50);
@@ -171,10 +183,10 @@
     EXPECT_EQ(roster.current(now).size(), 1U);
 }
 
-// An engine crashes and starts again under its name. The word of its earlier process that it leaves takes
-// effect in the store a second later, and the engine, idle and sound, gets nothing; or requests go to its old
-// address.
-TEST(endpoint_roster, a_late_entry_of_an_earlier_process_changes_nothing) {
+// An engine crashes and restarts under its name. A write of its earlier process, which marks it as leaving,
+// takes effect in the store a second later. If it counted, the healthy, idle engine would get no requests, or
+// requests would go to its old address.
+TEST(endpoint_roster, a_late_entry_of_an_earlier_process_is_ignored) {
     endpoint_roster roster;
     const time_point now{seconds(10)};
     endpoint_record first = make_live_endpoint("a");
@@ -192,9 +204,9 @@
     EXPECT_EQ(roster.current(now + seconds(9)).front(), second);
 }
 
-// The clock of an engine's machine jumped back between two starts. Its entries name an earlier start than
-// those before, and the word that it leaves must count all the same.
-TEST(endpoint_roster, an_earlier_start_that_stays_is_believed) {
+// The clock of an engine's machine jumped back between two starts, so its entries name an earlier start than
+// those of the previous process. An entry that marks it as leaving must take effect nevertheless.
+TEST(endpoint_roster, an_entry_with_an_earlier_start_is_accepted_after_the_timeout) {
     endpoint_roster roster;
     const time_point now{seconds(10)};
     endpoint_record first = make_live_endpoint("a");
@@ -208,9 +220,9 @@
     EXPECT_EQ(roster.current(now + milliseconds(2600)).front().state, "leaving");
 }
 
-// While the store is away, registrations lapse. It comes back with an empty list, and every caller is turned
-// away although all endpoints live. Two seconds later all are registered again.
-TEST(endpoint_roster, registrations_that_lapsed_in_an_outage_are_kept_until_they_could_be_back) {
+// Registrations expire during a store outage, and the store returns with an empty list. A host that used this
+// list would refuse all requests although all endpoints are alive and register again within two seconds.
+TEST(endpoint_roster, registrations_that_lapsed_in_an_outage_are_kept_for_the_reregistration_time) {
     endpoint_roster roster;
     const time_point now = time_point{} + seconds(50);
     roster.update({make_live_endpoint("a"), make_live_endpoint("b")}, now);
@@ -225,10 +237,10 @@
     EXPECT_EQ(after.front().name, "a");
 }
 
-// One host's link to the store is cut and heals. It keeps vanished endpoints for two seconds and says so to
-// hosts that go by its copies; each of them kept them for two seconds from then and said so in turn.
-// Endpoints that had left for good got requests for ever.
-TEST(endpoint_roster, what_hosts_pass_on_to_one_another_comes_to_an_end) {
+// A host loses its link to the store for a time. It keeps endpoints that disappeared for two seconds and
+// forwards that grace period with its copies. If each recipient began the two seconds anew and forwarded them
+// in turn, endpoints that have left would get requests for ever.
+TEST(endpoint_roster, a_grace_period_that_hosts_forward_to_each_other_ends) {
     endpoint_roster rosters[2];
     time_point now = time_point{} + seconds(50);
     rosters[0].update({make_live_endpoint("a")}, now);
@@ -237,19 +249,19 @@
     rosters[0].on_store_regained(now);
     for (int turn = 0; turn < 20; ++turn) {
         now += milliseconds(200);
-        endpoint_roster& teller = rosters[turn % 2];
-        endpoint_roster& listener = rosters[1 - turn % 2];
-        listener.keep_lapsed_until(now + teller.grace_left(now));
-        listener.update({}, now);
+        endpoint_roster& sender = rosters[turn % 2];
+        endpoint_roster& recipient = rosters[1 - turn % 2];
+        recipient.keep_lapsed_until(now + sender.grace_left(now));
+        recipient.update({}, now);
     }
     EXPECT_TRUE(rosters[0].current(now).empty());
     EXPECT_TRUE(rosters[1].current(now).empty());
 }
 
-// A host is cut off, reads the store itself for want of news, and goes by copies again once the cut has
-// healed. It had noted the store as lost and never its return: an endpoint that left 4 s ago still got
-// requests.
-TEST(endpoint_roster, a_host_that_goes_by_copies_again_keeps_nothing) {
+// A host is partitioned, reads the store itself because no copies arrive, and uses copies again after the
+// partition. If it still counted the store as lost, because it never saw the store's return, an endpoint that
+// left 4 s ago would get requests.
+TEST(endpoint_roster, a_host_that_uses_copies_again_keeps_no_lapsed_endpoints) {
     endpoint_roster roster;
     const time_point now = time_point{} + seconds(50);
     roster.update({make_live_endpoint("a")}, now);
@@ -259,7 +271,8 @@
     EXPECT_TRUE(roster.current(now + seconds(3)).empty());
 }
 
-TEST(endpoint_roster, one_that_said_it_was_leaving_is_not_kept) {
+// An endpoint that announced its leaving before a store outage has left, and requests to it would fail.
+TEST(endpoint_roster, an_endpoint_that_announced_its_leaving_is_not_kept) {
     endpoint_roster roster;
     const time_point now = time_point{} + seconds(50);
     endpoint_record leaving = make_live_endpoint("a");
@@ -283,19 +296,23 @@
     return status;
 }
 
-TEST(host_gossip, a_host_is_alive_while_its_beat_rises) {
+// Peers go on forwarding the last status of a dead host, which must not count as a sign that the host is
+// alive.
+TEST(host_gossip, a_host_is_alive_while_its_heartbeat_counter_rises) {
     host_gossip gossip(make_status("a", 0), 1);
     const time_point now = time_point{} + seconds(50);
     gossip.merge({make_status("b", 1)}, now);
     EXPECT_EQ(gossip.live(now).size(), 2U);
     gossip.merge({make_status("b", 1)}, now + seconds(2));
     EXPECT_EQ(gossip.live(now + seconds(3)).size(), 1U)
-        << "an old beat that is passed on again is no sign of life";
+        << "an old heartbeat that is forwarded again does not show that the host is alive";
     gossip.merge({make_status("b", 2)}, now + seconds(3));
     EXPECT_EQ(gossip.live(now + seconds(3)).size(), 2U);
 }
 
-TEST(host_gossip, a_restarted_host_goes_before_its_former_self) {
+// A restarted host counts its heartbeats from zero again. A forwarded status of its earlier process has a
+// higher beat but must not replace that of the new process.
+TEST(host_gossip, the_status_of_a_restarted_host_replaces_that_of_its_earlier_process) {
     host_gossip gossip(make_status("a", 0), 1);
     const time_point now = time_point{} + seconds(50);
     gossip.merge({make_status("b", 900)}, now);
@@ -307,7 +324,8 @@
     EXPECT_EQ(gossip.live(now).back().state, "starting");
 }
 
-RC_GTEST_PROP(host_gossip, everybody_soon_knows_everybody, ()) {
+// Hosts that know only one seed at their start must find each other through gossip.
+RC_GTEST_PROP(host_gossip, all_hosts_know_all_others_within_forty_rounds, ()) {
     const int count = *rc::gen::inRange(2, 30);
     std::vector<std::unique_ptr<host_gossip>> hosts;
     for (int i = 0; i < count; ++i) {
@@ -330,7 +348,9 @@
     }
 }
 
-TEST(entries_for, prefers_the_callers_own_domain_if_it_has_two) {
+// Traffic between failure domains costs money, but a single host of its own domain leaves a caller no
+// alternative.
+TEST(entries_for, prefers_the_callers_own_domain_if_it_has_two_hosts) {
     const std::vector<host_status> hosts = {make_status("a", 1, "d1"), make_status("b", 1, "d1"),
                                             make_status("c", 1, "d2")};
     EXPECT_EQ(entries_for("d1", hosts, 16), std::vector<std::string>({"a:2", "b:2"}));
@@ -338,7 +358,8 @@
     EXPECT_EQ(entries_for("elsewhere", hosts, 2).size(), 2U);
 }
 
-TEST(entries_for, a_host_that_stops_is_out_at_once) {
+// Callers that still choose a host that is about to stop would lose their connection to it.
+TEST(entries_for, a_leaving_host_is_left_out) {
     std::vector<host_status> hosts = {make_status("a", 1), make_status("b", 1)};
     hosts.front().state = "leaving";
     EXPECT_EQ(entries_for("d1", hosts, 16), std::vector<std::string>({"b:2"}));
@@ -347,7 +368,7 @@
 } // namespace
 namespace {
 
-/** One of 74 hosts, long started, that goes by copies which are up to date. */
+/** \return the inputs of one of 74 hosts that was started long ago and uses up-to-date copies. */
 reading_inputs inputs_of_non_reader() {
     reading_inputs inputs;
     inputs.mode = reading_mode::copies;
@@ -361,9 +382,10 @@
 
 } // namespace
 
-// A host's time of day jumps back and its process is restarted: it takes itself for older than the one that
-// ended. Callers were not sent there for half a minute, until the others had forgotten the one before.
-TEST(host_gossip, a_restarted_host_whose_clock_went_back_is_heard) {
+// A host's wall clock jumps back and its process restarts with a lower incarnation than the earlier process
+// had. If its statuses were ignored, it would get no callers for half a minute, until its peers forget the
+// earlier process.
+TEST(host_gossip, a_restarted_host_whose_clock_jumped_back_is_accepted) {
     host_status before;
     before.name = "h1";
     before.incarnation = 5'000;
@@ -383,8 +405,9 @@
     EXPECT_GT(live.front().incarnation, before.incarnation);
 }
 
-// The same, but the host was away for five seconds: nobody tells it of its past any more.
-TEST(host_gossip, a_silent_host_is_replaced_by_whatever_speaks_in_its_name) {
+// A host restarts with a lower incarnation after five seconds of silence, when no peer sends it the status of
+// its earlier process any more. Its statuses must be accepted nevertheless.
+TEST(host_gossip, a_silent_host_is_replaced_by_any_process_of_its_name) {
     host_status before;
     before.name = "h1";
     before.incarnation = 5'000;
@@ -401,7 +424,9 @@
     EXPECT_EQ(other.live(begin + seconds(5)).front().incarnation, 3'000);
 }
 
-TEST(store_reading, few_hosts_of_a_large_fleet_read) {
+// All hosts share one rate limit for calls of the store, which a large fleet would exceed if every host read
+// it.
+TEST(store_reading, only_two_hosts_of_a_large_fleet_read) {
     reading_inputs inputs = inputs_of_non_reader();
     EXPECT_EQ(choose_reading_mode(inputs), reading_mode::copies);
     inputs.hosts_before = 1;
@@ -412,15 +437,15 @@
     EXPECT_EQ(choose_reading_mode(inputs), reading_mode::all);
 }
 
-// Operators add 1,800 routes. Fifty hosts ask six for half a megabyte each, over links of 10 Mbit/s; the
-// copies time out one after another, and callers of the new routes get 404 for four seconds.
-TEST(store_reading, a_copy_that_does_not_come_is_read_from_the_store) {
+// Operators add 1,800 routes. Fifty hosts request half a megabyte each from six hosts over 10 Mbit/s links.
+// The copies time out one after another, and callers of the new routes get 404 for four seconds.
+TEST(store_reading, an_overdue_copy_is_read_from_the_store) {
     reading_inputs inputs = inputs_of_non_reader();
     inputs.copy_overdue = milliseconds(400);
     EXPECT_EQ(choose_reading_mode(inputs), reading_mode::copies);
     inputs.is_config_large = true;
     EXPECT_EQ(choose_reading_mode(inputs), reading_mode::fetching)
-        << "the next change of one that is known to be large";
+        << "a large configuration is read from the store at its next change";
     inputs.is_config_large = false;
     inputs.copy_overdue = milliseconds(900);
     EXPECT_EQ(choose_reading_mode(inputs), reading_mode::fetching);
@@ -430,9 +455,9 @@
     EXPECT_EQ(choose_reading_mode(inputs), reading_mode::copies);
 }
 
-// Forty hosts of a large fleet are killed and start again. Each read the store for one and a half seconds,
-// though it had listed everything, and had been told of the others, within fifty milliseconds.
-TEST(store_reading, a_host_that_has_just_started_reads_until_it_knows_the_others) {
+// Forty hosts of a large fleet are killed and restart. Each would read the store for 1.5 s, although it has
+// listed everything and knows the other hosts within 50 ms.
+TEST(store_reading, a_starting_host_reads_until_it_holds_all_objects_and_knows_the_fleet) {
     reading_inputs inputs = inputs_of_non_reader();
     inputs.mode = reading_mode::all;
     inputs.since_start = inputs.in_mode = milliseconds(250);
@@ -443,6 +468,7 @@
     EXPECT_EQ(choose_reading_mode(inputs), reading_mode::all);
 }
 
+// A host that has just started must learn of all live hosts at once, in messages of the usual size.
 TEST(host_gossip, an_introduction_names_every_live_host) {
     host_status self;
     self.name = "h0";
@@ -468,22 +494,22 @@
     EXPECT_FALSE(gossip.knows(others.front()));
 }
 
-// The store is down for eight seconds. Every host of a large fleet tries all its watches four times a second;
-// 6,000 refused calls use up the allowance that is needed at its return.
-TEST(store_reading, in_an_outage_the_others_ask_for_the_configuration_alone) {
+// The store is down for eight seconds. If every host of a large fleet retried all its watches four times a
+// second, 6,000 refused calls would use up the rate limit that is needed when the store returns.
+TEST(store_reading, in_an_outage_non_readers_ask_for_the_configuration_only) {
     reading_inputs inputs = inputs_of_non_reader();
     inputs.config_age = seconds(4);
     EXPECT_EQ(choose_reading_mode(inputs), reading_mode::confirming);
     inputs.mode = reading_mode::confirming;
     inputs.in_mode = seconds(3);
     EXPECT_EQ(choose_reading_mode(inputs), reading_mode::confirming);
-    inputs.config_age = milliseconds(300); // A peer vouches again.
+    inputs.config_age = milliseconds(300); // A peer has confirmed the configuration.
     EXPECT_EQ(choose_reading_mode(inputs), reading_mode::copies);
 }
 
-// The store turns every reader away and serves this host. Were it only to confirm its configuration, nobody
-// would hear of endpoints that leave.
-TEST(store_reading, a_host_that_is_served_reads_for_those_that_are_not) {
+// The store refuses all readers and serves this host. If the host only confirmed its configuration, no host
+// would learn of leaving endpoints.
+TEST(store_reading, a_host_that_the_store_serves_reads_for_those_that_it_refuses) {
     reading_inputs inputs = inputs_of_non_reader();
     inputs.mode = reading_mode::confirming;
     inputs.in_mode = milliseconds(250);
@@ -496,9 +522,9 @@
     EXPECT_EQ(choose_reading_mode(inputs), reading_mode::copies);
 }
 
-// All 295 hosts start within a third of a second. Each lists and follows everything until it knows the
-// others: seven calls each, 2,000 in all, which are most of the day's.
-TEST(store_reading, a_host_that_starts_follows_nothing_until_it_has_heard_who_the_others_are) {
+// All 295 hosts start within a third of a second. If each listed and followed everything until it knows the
+// others, they would make seven calls each, 2,000 in total, which is most of a day's calls.
+TEST(store_reading, a_starting_host_follows_nothing_until_gossip_has_named_the_others) {
     reading_inputs inputs = inputs_of_non_reader();
     inputs.mode = reading_mode::listening;
     inputs.since_start = inputs.in_mode = milliseconds(500);
@@ -506,16 +532,16 @@
     inputs.holds_copies = true;
     EXPECT_EQ(choose_reading_mode(inputs), reading_mode::listening);
     inputs.since_start = inputs.in_mode = milliseconds(1000);
-    EXPECT_EQ(choose_reading_mode(inputs), reading_mode::all) << "there are no others";
+    EXPECT_EQ(choose_reading_mode(inputs), reading_mode::all) << "the fleet is small";
     inputs.hosts = 295;
     EXPECT_EQ(choose_reading_mode(inputs), reading_mode::copies);
     inputs.holds_copies = false;
-    EXPECT_EQ(choose_reading_mode(inputs), reading_mode::all) << "nothing came of what it asked for";
+    EXPECT_EQ(choose_reading_mode(inputs), reading_mode::all) << "its first listing has failed";
 }
 
-// The store turns both readers away. All 293 others ask for themselves in the same quarter of a second,
-// though the first that is answered could vouch for them.
-TEST(store_reading, hosts_that_nobody_vouches_for_ask_one_after_another) {
+// The store refuses both readers. If all 293 other hosts asked it within the same quarter of a second, most
+// calls would be wasted: the first host that is answered can confirm the configuration for the others.
+TEST(store_reading, hosts_without_confirmation_ask_the_store_one_after_another) {
     reading_inputs inputs = inputs_of_non_reader();
     inputs.hosts = 295;
     inputs.config_age = milliseconds(3700);
@@ -539,8 +565,8 @@
 
 } // namespace
 
-// A failure domain is lost, and with it both hosts that read the store for all others.
-TEST(store_reading, readers_stand_in_different_domains) {
+// The loss of one failure domain must not take away both hosts that read the store for all others.
+TEST(store_reading, readers_are_in_different_domains) {
     const std::vector<host_status> hosts = make_fleet(295, 6);
     const std::vector<host_status> readers = select_readers(hosts);
     ASSERT_EQ(readers.size(), 2U);
@@ -549,9 +575,10 @@
     EXPECT_EQ(select_relays(hosts).size(), 12U);
 }
 
-// A release brings 190 endpoints. Callers of three hosts in each domain wait for 2.5 s, and some of their
-// requests reach an endpoint after they have left: these hosts sent copies to all others of their domain.
-TEST(store_reading, a_change_reaches_every_host_and_no_host_tells_many) {
+// A release adds 190 endpoints. If three hosts in each domain sent copies to all others of their domain,
+// their callers would wait for 2.5 s, and some requests would reach an endpoint after their callers have
+// left.
+TEST(store_reading, a_change_reaches_every_host_and_no_host_notifies_many) {
     const std::vector<host_status> hosts = make_fleet(400, 6);
     const std::vector<host_status> readers = select_readers(hosts);
     std::set<std::string> reached;
@@ -584,9 +611,9 @@
     EXPECT_LE(hops, 4);
 }
 
-// The store is back after eight seconds. All 295 hosts look at everything at once, though the copies of those
-// that read are with the others in a moment.
-TEST(store_reading, after_an_outage_few_hosts_look_at_everything) {
+// The store returns after eight seconds. Not all of 295 hosts may read everything at once, because the
+// readers' copies reach the others within a moment.
+TEST(store_reading, after_an_outage_only_few_hosts_read_everything) {
     reading_inputs inputs = inputs_of_non_reader();
     inputs.hosts = 295;
     inputs.mode = reading_mode::confirming;
@@ -598,9 +625,9 @@
     EXPECT_EQ(choose_reading_mode(inputs), reading_mode::copies);
 }
 
-// A fleet starts as a whole, before it has a configuration. Where only hosts that serve counted, every host
-// took itself for the first of the readers and asked for everything, and again when the first few served.
-TEST(store_reading, of_hosts_that_all_start_two_read) {
+// A whole fleet starts before there is a configuration. If only serving hosts were ranked, every host would
+// consider itself the first reader and read everything, and would do so again when the first few hosts serve.
+TEST(store_reading, two_hosts_of_a_starting_fleet_read) {
     std::vector<host_status> hosts = make_fleet(295, 6);
     for (host_status& host : hosts) {
         host.state = "starting";
@@ -613,12 +640,12 @@
         host.state = host.name == readers.front().name ? "leaving" : "serving";
     }
     EXPECT_EQ(select_readers(hosts).front().name, readers.back().name)
-        << "one that stops does not read for others";
+        << "a leaving host is not a reader";
 }
 
 namespace {
 
-/** A fleet of which each host passes on what it knows three times in 1.2 s. */
+/** A simulated fleet. In each gossip round of 0.4 s every host sends what it knows to its targets. */
 struct gossiping_fleet {
     explicit gossiping_fleet(int count) {
         for (const host_status& status : make_fleet(count, 6)) {
@@ -649,7 +676,7 @@
             }
         }
     }
-    /** \return the smallest and the largest number of live hosts that a live host believes in. */
+    /** \return the smallest and the largest number of hosts that a live host considers alive. */
     std::pair<std::size_t, std::size_t> live_count_range() const {
         std::pair<std::size_t, std::size_t> range{hosts.size(), 0};
         for (std::size_t i = 0; i < hosts.size(); ++i) {
@@ -667,20 +694,20 @@
 
 } // namespace
 
-// At 295 hosts every host takes half of the others for dead at any moment: callers are told of half of the
-// fleet, hosts that are no readers merge themselves for one and read the store, and a change is told to half
-// of them. Three messages in 0.4 s that speak of twelve hosts each bring news of a given one every 3.3 s.
-TEST(host_gossip, every_host_of_a_large_fleet_knows_all_that_live) {
+// With three messages in 0.4 s that describe twelve hosts each, news of a given one of 295 hosts arrives
+// every 3.3 s. Every host then considers half of the others dead: callers learn of half of the fleet, hosts
+// that are no readers consider themselves readers, and changes are sent to half of the hosts.
+TEST(host_gossip, every_host_of_a_large_fleet_knows_all_live_hosts) {
     gossiping_fleet fleet(400);
     fleet.run_rounds(25);
-    EXPECT_EQ(fleet.live_count_range().first, 400U) << "ten seconds after all have started";
+    EXPECT_EQ(fleet.live_count_range().first, 400U) << "ten seconds after the start of all hosts";
     fleet.run_rounds(8);
-    EXPECT_EQ(fleet.live_count_range().first, 400U) << "and goes on knowing them";
+    EXPECT_EQ(fleet.live_count_range().first, 400U) << "three seconds later";
 }
 
-// A third of the hosts lose power at once. Callers must not be sent there for long, nor may those that live
-// be lost with them.
-TEST(host_gossip, a_third_of_a_large_fleet_dies_and_the_rest_knows_it_within_six_seconds) {
+// A third of the hosts lose power at once. They must be removed from answers to callers soon, and no live
+// host may be considered dead.
+TEST(host_gossip, the_loss_of_a_third_of_a_large_fleet_is_detected_within_six_seconds) {
     gossiping_fleet fleet(300);
     fleet.run_rounds(25);
     for (std::size_t i = 0; i < 300; i += 3) {
@@ -690,15 +717,16 @@
     EXPECT_EQ(fleet.live_count_range(), (std::pair<std::size_t, std::size_t>{200, 200}));
 }
 
-TEST(host_gossip, beats_survive_their_way) {
+// Heartbeats travel as packed bytes, of which an incomplete one at the end must be ignored.
+TEST(host_gossip, heartbeats_are_decoded_as_they_were_encoded) {
     const std::vector<host_heartbeat> beats{{4'000'000'001U, 65'535, 0}, {7, 1, 40'000}};
     EXPECT_EQ(decode_heartbeats(encode_heartbeats(beats)), beats);
     EXPECT_EQ(decode_heartbeats(encode_heartbeats(beats) + "half").size(), 2U);
 }
 
-// A host that has restarted has a low beat again; a beat of its earlier process, still on its way, must not
-// make the new one look older or newer than it is.
-TEST(host_gossip, a_beat_of_another_process_changes_nothing) {
+// A restarted host counts its heartbeats from zero again. A delayed heartbeat of its earlier process must not
+// count for the new one.
+TEST(host_gossip, a_heartbeat_of_another_process_is_ignored) {
     gossiping_fleet fleet(20);
     fleet.run_rounds(20);
     const host_status known = fleet.hosts[1]->self();
