--- a/src/host/entry_host.cpp
+++ b/src/host/entry_host.cpp
@@ -16,10 +16,12 @@
 constexpr duration gossip_interval = milliseconds(400);
 constexpr duration maintenance_interval = milliseconds(250);
 constexpr duration stop_interval = milliseconds(100);
-constexpr std::size_t max_logged_invalid_endpoints = 1000; ///< kept in memory, so that each is logged only once
+constexpr std::size_t max_logged_invalid_endpoints =
+    1000; ///< kept in memory, so that each is logged only once
 /// Callers cache the list of entry hosts for about this long, so requests still arrive during this time.
 constexpr duration serving_after_stop = milliseconds(3000);
-constexpr duration stop_margin = milliseconds(1000); ///< kept free at the end of the grace period, for slow hosts
+constexpr duration stop_margin =
+    milliseconds(1000); ///< kept free at the end of the grace period, for slow hosts
 /// Callers accept up to 64 addresses. With 16, three hosts in a domain of 19 got no callers.
 constexpr std::size_t max_entries_in_answer = 64;
 
--- a/src/host/entry_host.h
+++ b/src/host/entry_host.h
@@ -116,7 +116,7 @@
     void send_session_update(time_point now);
     void send_introduction(const std::string& newcomer, time_point now);
     void send_missing_statuses(const std::string& recipient_address, const std::string& recipient,
-                             const std::vector<host_heartbeat>& beats, time_point now);
+                               const std::vector<host_heartbeat>& beats, time_point now);
     std::vector<load_entry> own_load() const;
     std::vector<load_entry> take_load_changes();
     void on_load_changed();
@@ -188,34 +188,36 @@
     datagram_socket datagrams_;
     std::unique_ptr<http_server> peer_server_;
     http_client peer_client_;
-    std::int64_t config_revision_ = 0;             ///< revision of the configuration in force
-    time_point config_since_;                      ///< when the configuration in force took effect here
-    bool is_config_readable_ = false;              ///< whether the newest configuration could be decoded
-    std::map<std::int64_t, time_point> open_questions_; ///< when each \ref freshness_question was sent, by nonce
+    std::int64_t config_revision_ = 0; ///< revision of the configuration in force
+    time_point config_since_;          ///< when the configuration in force took effect here
+    bool is_config_readable_ = false;  ///< whether the newest configuration could be decoded
+    std::map<std::int64_t, time_point>
+        open_questions_; ///< when each \ref freshness_question was sent, by nonce
     std::int64_t last_nonce_ = 0;
     std::uint64_t rounds_ = 0;                  ///< gossip rounds so far
     std::optional<time_point> history_gone_at_; ///< when the store last reported that its history is gone
     bool is_load_update_scheduled_ = false;
     bool is_crash_update_scheduled_ = false;
     bool is_limit_update_scheduled_ = false;
-    std::set<std::string> unsent_refusals_;             ///< endpoints whose refusal is not sent yet
-    std::map<std::string, load_entry> last_sent_load_;        ///< content of the last load update, by endpoint
+    std::set<std::string> unsent_refusals_;              ///< endpoints whose refusal is not sent yet
+    std::map<std::string, load_entry> last_sent_load_;   ///< content of the last load update, by endpoint
     bool is_store_lost_ = false;                         ///< whether calls of the configuration's watch fail
     std::map<std::string, encoded_copy> encoded_copies_; ///< by kind of object
-    std::set<std::string> fetches_in_flight_;                     ///< kinds of object of which a copy is being fetched
+    std::set<std::string> fetches_in_flight_;            ///< kinds of object of which a copy is being fetched
     time_point started_at_;
     std::int64_t newest_known_config_ = 0;   ///< highest revision named by a peer or the store
     std::optional<time_point> behind_since_; ///< since when a newer configuration is known than is held
     reading_mode reading_ = reading_mode::listening;
     time_point reading_since_;
-    std::vector<release_counts> last_sent_counts_;   ///< content of the last count update
-    std::optional<time_point> hears_all_since_; ///< since when all hosts send their counts to this one
-    std::vector<rollout_news> last_sent_decisions_;  ///< last sent to all hosts, with ages set to 0
-    std::optional<time_point> store_confirmed_at_;  ///< when the store last confirmed the configuration to this host
+    std::vector<release_counts> last_sent_counts_;  ///< content of the last count update
+    std::optional<time_point> hears_all_since_;     ///< since when all hosts send their counts to this one
+    std::vector<rollout_news> last_sent_decisions_; ///< last sent to all hosts, with ages set to 0
+    std::optional<time_point>
+        store_confirmed_at_; ///< when the store last confirmed the configuration to this host
     std::map<std::string, time_point>
-        due_since_;                      ///< when reports that are not confirmed yet became due, by service and state
-    std::set<std::string> reports_in_flight_;      ///< services for which a report is being written
-    std::set<std::int64_t> handed_over_; ///< revisions of orders whose report was handed over
+        due_since_; ///< when reports that are not confirmed yet became due, by service and state
+    std::set<std::string> reports_in_flight_; ///< services for which a report is being written
+    std::set<std::int64_t> handed_over_;      ///< revisions of orders whose report was handed over
     std::map<std::string, std::int64_t>
         logged_invalid_endpoints_; ///< revision last logged as invalid, by endpoint name
 };
--- a/src/host/entry_host_copies.cpp
+++ b/src/host/entry_host_copies.cpp
@@ -70,7 +70,7 @@
     inputs.is_config_large =
         relay_.state().routing && relay_.state().routing->config().routes.size() > large_config_routes;
     inputs.holds_copies = std::all_of(watches().begin(), watches().end(),
-                                    [](const object_watch* watch) { return watch->is_listed(); });
+                                      [](const object_watch* watch) { return watch->is_listed(); });
     inputs.hosts = hosts.size();
     inputs.hosts_before = find_reader_position(settings_.name, hosts).overall;
     return inputs;
@@ -116,10 +116,12 @@
                              rollout_watch_.changed_at(), evacuation_watch_.changed_at()};
     // Changes are also sent directly: by gossip rounds alone, the simultaneous departure of 112 endpoints
     // took 1.3 s to reach the last host, and requests were sent to them meanwhile.
-    send_to_others(scope == notice_scope::change
-                       ? change_notice_targets(settings_.name, reads_everything(), gossip_.live(now))
-                       : gossip_.random_peers_by_domain(copy_notice_peers - copy_notice_peers_in_other_domains, copy_notice_peers_in_other_domains, now),
-                   encode_peer_message(notice));
+    send_to_others(
+        scope == notice_scope::change
+            ? change_notice_targets(settings_.name, reads_everything(), gossip_.live(now))
+            : gossip_.random_peers_by_domain(copy_notice_peers - copy_notice_peers_in_other_domains,
+                                             copy_notice_peers_in_other_domains, now),
+        encode_peer_message(notice));
 }
 
 void entry_host::note_config_revision(std::int64_t revision) {
@@ -211,7 +213,8 @@
     // Endpoints that lapsed in an outage are kept here as long as on the peer. The longest propagation time
     // is subtracted: the grace period is sent as a duration, so it would otherwise begin anew at each host
     // that forwards it, and no endpoint would ever be dropped.
-    const duration grace = milliseconds(static_cast<std::int64_t>(copy.value("grace_ms", 0.0))) - max_propagation_time;
+    const duration grace =
+        milliseconds(static_cast<std::int64_t>(copy.value("grace_ms", 0.0))) - max_propagation_time;
     roster_.keep_lapsed_until(monotonic_now() + grace);
     const std::int64_t revision = copy.value("revision", std::int64_t{0});
     if (watch.take_copy(std::move(objects), revision)) {
--- a/src/host/entry_host_peers.cpp
+++ b/src/host/entry_host_peers.cpp
@@ -25,19 +25,19 @@
 constexpr std::size_t max_refusals_per_message = 64; ///< 25 bytes each
 /// All requests that break off when an endpoint crashes are detected within about 5 ms.
 constexpr duration crash_batch_delay = milliseconds(10);
-constexpr std::size_t max_crashes_per_round = 8; ///< about 60 bytes each; the newest ones are sent
-constexpr std::size_t max_crashes_per_message = 16;         ///< in a message sent outside the gossip rounds
+constexpr std::size_t max_crashes_per_round = 8;    ///< about 60 bytes each; the newest ones are sent
+constexpr std::size_t max_crashes_per_message = 16; ///< in a message sent outside the gossip rounds
 /// Engines under the same load state their rate limits within about 10 ms of one another.
 constexpr duration limit_batch_delay = milliseconds(10);
-constexpr std::size_t max_limits_per_round = 8; ///< about 30 bytes each; each round sends other ones
-constexpr std::size_t max_limits_per_message = 32;         ///< in a message sent outside the gossip rounds
+constexpr std::size_t max_limits_per_round = 8;    ///< about 30 bytes each; each round sends other ones
+constexpr std::size_t max_limits_per_message = 32; ///< in a message sent outside the gossip rounds
 /// For this long after its start a host may know too few others to determine the sponsors of an endpoint.
 /// Gossip rounds name all hosts within 2 s.
 constexpr duration host_discovery_time = seconds(3);
 constexpr duration question_timeout = seconds(2);
 constexpr std::size_t peers_asked = 3;
-constexpr std::size_t own_domain_peers_asked = 2;   ///< of them, in the own failure domain (large fleet)
-constexpr std::size_t max_load_entries = 16; ///< per message, 20 bytes each
+constexpr std::size_t own_domain_peers_asked = 2; ///< of them, in the own failure domain (large fleet)
+constexpr std::size_t max_load_entries = 16;      ///< per message, 20 bytes each
 
 std::vector<std::string> names_of(const std::vector<host_status>& hosts) {
     std::vector<std::string> names;
@@ -106,7 +106,7 @@
 }
 
 void entry_host::send_missing_statuses(const std::string& recipient_address, const std::string& recipient,
-                                     const std::vector<host_heartbeat>& beats, time_point now) {
+                                       const std::vector<host_heartbeat>& beats, time_point now) {
     gossip_message message;
     message.statuses = gossip_.statuses_missing_in(beats, recipient, now);
     if (!message.statuses.empty()) {
@@ -258,8 +258,8 @@
     const std::vector<host_status>& live = gossip_.live(now);
     for (std::size_t first = 0; first < limits.size(); first += max_limits_per_message) {
         const auto begin = limits.begin() + static_cast<std::ptrdiff_t>(first);
-        const auto end =
-            limits.begin() + static_cast<std::ptrdiff_t>(std::min(limits.size(), first + max_limits_per_message));
+        const auto end = limits.begin() +
+                         static_cast<std::ptrdiff_t>(std::min(limits.size(), first + max_limits_per_message));
         send_to_others(live, encode_peer_message(limit_update{{begin, end}}));
     }
 }
--- a/src/host/peer_messages.h
+++ b/src/host/peer_messages.h
@@ -116,8 +116,8 @@
 LAUREL_VALUE_TYPE(limit_update, limits)
 
 using peer_message =
-    std::variant<gossip_message, freshness_question, freshness_answer, copy_notice, load_update, session_update,
-                 count_update, refusal_update, report_handover, crash_update, limit_update>;
+    std::variant<gossip_message, freshness_question, freshness_answer, copy_notice, load_update,
+                 session_update, count_update, refusal_update, report_handover, crash_update, limit_update>;
 
 /** \return the bytes of \p message. */
 std::string encode_peer_message(const peer_message& message);
--- a/src/membership/host_gossip.cpp
+++ b/src/membership/host_gossip.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr std::size_t targets_per_round = 3;
-constexpr std::size_t own_domain_targets = 2;   ///< targets in the own failure domain, on a large fleet
+constexpr std::size_t own_domain_targets = 2;        ///< targets in the own failure domain, on a large fleet
 constexpr std::size_t max_statuses_per_message = 12; ///< fits one or two packets of 1,400 bytes
 /// On a small fleet a message describes one of this many hosts, which is enough for a heartbeat to reach all
 /// hosts within three rounds. With all hosts in each message, gossip made up a quarter of the bytes between
@@ -25,7 +25,7 @@
 /// How long the list of live hosts is cached; a host that has become silent may be listed for this much
 /// longer.
 constexpr duration live_cache_time = milliseconds(100);
-constexpr std::uint64_t rounds_between_seeds = 8; ///< every so many rounds a seed is contacted as well
+constexpr std::uint64_t rounds_between_seeds = 8;     ///< every so many rounds a seed is contacted as well
 constexpr duration dead_host_retention = seconds(30); ///< how long a silent host is remembered
 
 bool is_newer(const host_status& left, const host_status& right) {
@@ -93,7 +93,8 @@
     ++self_.beat;
     ++rounds_;
     std::vector<std::string> targets;
-    for (const host_status& peer : random_peers_by_domain(own_domain_targets, targets_per_round - own_domain_targets, now)) {
+    for (const host_status& peer :
+         random_peers_by_domain(own_domain_targets, targets_per_round - own_domain_targets, now)) {
         targets.push_back(peer.gossip_address);
     }
     // A seed is contacted in every few rounds as well, so that two groups that a partition has separated find
@@ -120,16 +121,22 @@
     shuffle(candidates, random_);
     if (is_large) {
         // Statuses that were sent often enough rank equally, so that they alternate at random.
-        const auto capped_times_sent = [](const peer_status* peer) { return std::min(peer->times_sent, max_times_sent); };
-        std::stable_sort(candidates.begin(), candidates.end(),
-                         [&](const auto* l, const auto* r) { return capped_times_sent(l) < capped_times_sent(r); });
+        const auto capped_times_sent = [](const peer_status* peer) {
+            return std::min(peer->times_sent, max_times_sent);
+        };
+        std::stable_sort(candidates.begin(), candidates.end(), [&](const auto* l, const auto* r) {
+            return capped_times_sent(l) < capped_times_sent(r);
+        });
     }
     const std::size_t share = (others_.size() + 1) / hosts_per_status;
-    const std::size_t limit = is_large ? max_statuses_per_message : std::clamp(share, min_statuses_per_message, max_statuses_per_message);
+    const std::size_t limit = is_large
+                                  ? max_statuses_per_message
+                                  : std::clamp(share, min_statuses_per_message, max_statuses_per_message);
     std::vector<host_status> statuses{self_};
     for (peer_status* peer : candidates) {
         const bool is_recent_change = peer->times_sent < max_times_sent;
-        if (statuses.size() >= limit || (is_large && !is_recent_change && statuses.size() >= min_statuses_per_message)) {
+        if (statuses.size() >= limit ||
+            (is_large && !is_recent_change && statuses.size() >= min_statuses_per_message)) {
             break;
         }
         ++peer->times_sent;
@@ -181,7 +188,8 @@
 // sends the status of the earlier process, the new one raises its incarnation above it.
 void host_gossip::raise_incarnation_above(const host_status& earlier_process) {
     if (earlier_process.incarnation > self_.incarnation) {
-        log_warning("incarnation_raised", {{"from", self_.incarnation}, {"past", earlier_process.incarnation}});
+        log_warning("incarnation_raised",
+                    {{"from", self_.incarnation}, {"past", earlier_process.incarnation}});
         self_.incarnation = earlier_process.incarnation + 1;
     }
 }
@@ -240,7 +248,8 @@
             continue;
         }
         peer_status& peer = found->second->second;
-        const bool is_same_process = static_cast<std::uint16_t>(peer.status.incarnation) == heartbeat.incarnation;
+        const bool is_same_process =
+            static_cast<std::uint16_t>(peer.status.incarnation) == heartbeat.incarnation;
         // The counter wraps around: the newer value is ahead by less than half of the range.
         const auto ahead =
             static_cast<std::int16_t>(heartbeat.beat - static_cast<std::uint16_t>(peer.status.beat));
@@ -290,7 +299,7 @@
 }
 
 std::vector<host_status> host_gossip::random_sample(const std::vector<const host_status*>& hosts,
-                                                std::size_t count) {
+                                                    std::size_t count) {
     std::vector<const host_status*> left = hosts;
     std::vector<host_status> chosen;
     while (chosen.size() < count && !left.empty()) {
@@ -311,7 +320,8 @@
     return random_sample(peers, count);
 }
 
-std::vector<host_status> host_gossip::random_peers_by_domain(std::size_t own_domain, std::size_t other_domains, time_point now) {
+std::vector<host_status> host_gossip::random_peers_by_domain(std::size_t own_domain,
+                                                             std::size_t other_domains, time_point now) {
     if (!is_large_fleet(now)) {
         return random_peers(own_domain + other_domains, now);
     }
@@ -324,7 +334,8 @@
     }
     std::vector<host_status> chosen = random_sample(own_domain_hosts, own_domain);
     // Hosts of other domains fill up the number if the own domain has too few.
-    const std::vector<host_status> from_other_domains = random_sample(other_hosts, own_domain + other_domains - chosen.size());
+    const std::vector<host_status> from_other_domains =
+        random_sample(other_hosts, own_domain + other_domains - chosen.size());
     chosen.insert(chosen.end(), from_other_domains.begin(), from_other_domains.end());
     return chosen;
 }
--- a/src/membership/host_gossip.h
+++ b/src/membership/host_gossip.h
@@ -31,8 +31,8 @@
     std::string gossip_address; ///< for datagrams from other hosts, ip:port
     std::string entry_address;  ///< for callers, ip:port
     std::string domain;
-    std::int64_t incarnation = 0; ///< of its process; normally higher after a restart
-    std::int64_t beat = 0;        ///< heartbeat counter, raised in each gossip round
+    std::int64_t incarnation = 0;   ///< of its process; normally higher after a restart
+    std::int64_t beat = 0;          ///< heartbeat counter, raised in each gossip round
     std::string state = "starting"; ///< "starting", "serving" or "leaving"
     std::int64_t config_revision = 0;
 };
@@ -106,7 +106,8 @@
      * which messages cost nothing, and \p other_domains hosts of the other domains, which would otherwise not
      * hear of this one. Hosts of other domains also fill up what the own domain lacks. On a small fleet the
      * peers are picked regardless of their domain. */
-    std::vector<host_status> random_peers_by_domain(std::size_t own_domain, std::size_t other_domains, time_point now);
+    std::vector<host_status> random_peers_by_domain(std::size_t own_domain, std::size_t other_domains,
+                                                    time_point now);
 
 private:
     struct peer_status {
--- a/src/membership/store_reading.cpp
+++ b/src/membership/store_reading.cpp
@@ -115,7 +115,7 @@
 }
 
 std::vector<host_status> change_notice_targets(const std::string& name, bool is_reader,
-                                      const std::vector<host_status>& hosts) {
+                                               const std::vector<host_status>& hosts) {
     const std::vector<candidate> order = reader_order(hosts, name);
     const auto own = std::find_if(order.begin(), order.end(),
                                   [&](const candidate& each) { return each.host->name == name; });
@@ -148,7 +148,8 @@
     if (inputs.mode == reading_mode::confirming && inputs.has_store_answered && reads_for_others) {
         return reading_mode::all;
     }
-    if (inputs.mode == reading_mode::all && inputs.has_store_answered && inputs.in_mode < reading_for_others_time) {
+    if (inputs.mode == reading_mode::all && inputs.has_store_answered &&
+        inputs.in_mode < reading_for_others_time) {
         return reading_mode::all;
     }
     if (inputs.config_age > max_unconfirmed_time + confirmation_stagger * inputs.hosts_before) {
--- a/src/membership/store_reading.h
+++ b/src/membership/store_reading.h
@@ -32,15 +32,15 @@
 /** Inputs of \ref choose_reading_mode. */
 struct reading_inputs {
     reading_mode mode = reading_mode::all;
-    duration in_mode{};            ///< time since \ref mode was chosen
-    duration since_start{};        ///< time since the process started
-    duration config_age{};         ///< time since the configuration was last confirmed to be the newest
-    duration copy_overdue{};       ///< time since a newer configuration than the one held became known
-    bool is_config_large = false;  ///< too large to be copied to all hosts over the readers' links
-    bool holds_copies = false;     ///< has read, or received from a peer, objects of all kinds
+    duration in_mode{};              ///< time since \ref mode was chosen
+    duration since_start{};          ///< time since the process started
+    duration config_age{};           ///< time since the configuration was last confirmed to be the newest
+    duration copy_overdue{};         ///< time since a newer configuration than the one held became known
+    bool is_config_large = false;    ///< too large to be copied to all hosts over the readers' links
+    bool holds_copies = false;       ///< has read, or received from a peer, objects of all kinds
     bool has_store_answered = false; ///< the store has answered this host since \ref mode was chosen
-    std::size_t hosts = 1;         ///< live hosts, this one included
-    std::size_t hosts_before = 0;  ///< hosts that precede this one in the reader order
+    std::size_t hosts = 1;           ///< live hosts, this one included
+    std::size_t hosts_before = 0;    ///< hosts that precede this one in the reader order
 };
 
 /// Hosts of each failure domain that the readers notify of a change directly; one of them may be lost.
@@ -73,7 +73,7 @@
  *
  * \return at most \ref change_notice_fanout hosts and, for a reader, the relays in addition */
 std::vector<host_status> change_notice_targets(const std::string& name, bool is_reader,
-                                      const std::vector<host_status>& hosts);
+                                               const std::vector<host_status>& hosts);
 
 /** \return what this host reads from the store from now on. */
 reading_mode choose_reading_mode(const reading_inputs& inputs);
--- a/test/membership_test.cpp
+++ b/test/membership_test.cpp
@@ -639,8 +639,7 @@
     for (host_status& host : hosts) {
         host.state = host.name == readers.front().name ? "leaving" : "serving";
     }
-    EXPECT_EQ(select_readers(hosts).front().name, readers.back().name)
-        << "a leaving host is not a reader";
+    EXPECT_EQ(select_readers(hosts).front().name, readers.back().name) << "a leaving host is not a reader";
 }
 
 namespace {
@@ -672,7 +671,8 @@
             if (dead.count(index) == 0) {
                 hosts[index]->merge(statuses, now);
                 hosts[index]->merge_heartbeats(decode_heartbeats(beats), now);
-                from.merge(hosts[index]->statuses_missing_in(decode_heartbeats(beats), from.self().name, now), now);
+                from.merge(hosts[index]->statuses_missing_in(decode_heartbeats(beats), from.self().name, now),
+                           now);
             }
         }
     }
