--- a/src/host/entry_host.cpp
+++ b/src/host/entry_host.cpp
@@ -6,21 +6,24 @@
 
 namespace {
 
-constexpr watch_timing config_timing{config_wait, config_gathering};
-/// While the store is lost, the configuration's watch alone looks for its return and wakes the others.
-constexpr duration woken_rest = milliseconds(2000);
-constexpr watch_timing endpoint_timing{endpoint_wait, endpoint_gathering, woken_rest};
-constexpr watch_timing rollout_timing{rollout_wait, rollout_gathering, woken_rest};
-constexpr watch_timing evacuation_timing{evacuation_wait, duration::zero(), woken_rest};
+constexpr watch_timing config_timing{config_wait, config_batch_delay};
+/// Longest backoff of the other watches. While the store is unreachable, only the configuration's watch
+/// retries often; it makes the others ask again as soon as the store answers.
+constexpr duration secondary_watch_max_backoff = milliseconds(2000);
+constexpr watch_timing endpoint_timing{endpoint_wait, endpoint_batch_delay, secondary_watch_max_backoff};
+constexpr watch_timing rollout_timing{rollout_wait, rollout_batch_delay, secondary_watch_max_backoff};
+constexpr watch_timing evacuation_timing{evacuation_wait, duration::zero(), secondary_watch_max_backoff};
 constexpr duration gossip_interval = milliseconds(400);
-constexpr duration upkeep_interval = milliseconds(250);
+constexpr duration maintenance_interval = milliseconds(250);
 constexpr duration stop_interval = milliseconds(100);
-constexpr std::size_t most_refused_endpoints = 1000; ///< remembered, so that each is logged once
-/// Callers keep an answer about this long, so for that time they still come.
+constexpr std::size_t max_logged_invalid_endpoints =
+    1000; ///< kept in memory, so that each is logged only once
+/// Callers cache the list of entry hosts for about this long, so requests still arrive during this time.
 constexpr duration serving_after_stop = milliseconds(3000);
-constexpr duration stop_margin = milliseconds(1000); ///< before the end of the grace period, for slow hosts
-/// Callers take up to 64 addresses. With 16, three hosts in a domain of 19 got no callers.
-constexpr std::size_t most_entries_in_answer = 64;
+constexpr duration stop_margin =
+    milliseconds(1000); ///< kept free at the end of the grace period, for slow hosts
+/// Callers accept up to 64 addresses. With 16, three hosts in a domain of 19 got no callers.
+constexpr std::size_t max_entries_in_answer = 64;
 
 std::int64_t new_incarnation() {
     return wall_clock_ms();
@@ -76,8 +79,8 @@
                     spread_timing(config_timing, settings.name),
                     {[this](const objects_by_name& objects) { on_config(objects); },
                      [this](time_point as_of) {
-                         heard_store_at_ = monotonic_now();
-                         behind_since_.reset(); // What is held is the newest, whatever its number.
+                         store_confirmed_at_ = monotonic_now();
+                         behind_since_.reset(); // The copy held is the newest, whatever its revision.
                          if (is_config_readable_) {
                              relay_.state().fence.confirm(as_of);
                          }
@@ -109,7 +112,7 @@
       datagrams_{loop, settings.peers,
                  [this](const std::string& from, const std::string& bytes) { on_datagram(from, bytes); }},
       peer_client_{loop} {
-    if (settings.hears_evacuations) {
+    if (settings.evacuations_enabled) {
         watches_.push_back(&evacuation_watch_);
     }
 }
@@ -129,20 +132,20 @@
         loop_, "peers", settings_.peers, http_limits{},
         [this](const http_request& request, const auto& responder) { serve_copy(request, responder); });
     for (object_watch* watch : watches()) {
-        watch->pause(); // Once listed, until it is known who reads.
-        // The newest configuration: it is also the first proof that keys are in force.
+        watch->pause(); // After its first listing, until it is known which hosts read.
+        // The configuration must be the newest: it is also the first confirmation that API keys are valid.
         watch->start(watch == &config_watch_ ? first_listing::newest : first_listing::lagging);
     }
     loop_.every(gossip_interval, [this] { gossip_round(); });
-    loop_.every(upkeep_interval, [this] {
+    loop_.every(maintenance_interval, [this] {
         flush_log();
         refresh_endpoints();
         assign_sponsored_endpoints(monotonic_now());
         assign_trials(monotonic_now());
-        share_reading();
-        note_who_decides(monotonic_now());
+        update_reading_mode();
+        update_deciding_role(monotonic_now());
         check_freshness();
-        tell_counts_of_settling(monotonic_now());
+        send_counts_while_settling(monotonic_now());
         advance_rollouts();
     });
     gossip_round();
@@ -152,9 +155,10 @@
     gossip_.set_seeds(seeds);
 }
 
-// Against a host that starts while a domain is evacuated: it would send there until it has read the order.
+// A host that starts during an evacuation would otherwise send requests to the evacuated domain until it has
+// read the order.
 bool entry_host::knows_endpoints() const {
-    return endpoint_watch_.is_listed() && (!settings_.hears_evacuations || evacuation_watch_.is_listed());
+    return endpoint_watch_.is_listed() && (!settings_.evacuations_enabled || evacuation_watch_.is_listed());
 }
 
 bool entry_host::is_ready() const {
@@ -163,7 +167,7 @@
 }
 
 std::vector<std::string> entry_host::entries_for_caller(const std::string& domain) const {
-    return entries_for(domain, gossip_.live(monotonic_now()), most_entries_in_answer);
+    return entries_for(domain, gossip_.live(monotonic_now()), max_entries_in_answer);
 }
 
 std::string entry_host::metrics_text() {
@@ -190,12 +194,12 @@
     }
 }
 
-// The configuration's watch is the one that asks most often, so it notices first, both ways.
+// The configuration's watch calls the store most often, so it is the first to notice both loss and return.
 void entry_host::on_store_reachability(bool is_lost) {
     note_reachability(is_lost);
     is_store_lost_ = is_lost;
     if (is_lost) {
-        check_freshness(); // While the peers' own confirmations are as fresh as they will ever be.
+        check_freshness(); // At once, while the peers' own confirmations are still recent.
     } else {
         for (object_watch* watch : watches()) {
             if (watch != &config_watch_) {
@@ -208,19 +212,19 @@
 void entry_host::on_history_gone() {
     history_gone_at_ = monotonic_now();
     for (object_watch* watch : watches()) {
-        watch->list_again(); // Has no effect on the one that noticed: it lists already.
+        watch->list_again(); // Has no effect on the watch that reported this, which is already listing.
     }
 }
 
 void entry_host::on_config(const objects_by_name& objects) {
     const auto found = objects.find(codec_.config_name());
     is_config_readable_ = found != objects.end() && apply_config(found->second);
-    note_config_heard(0);
+    note_config_revision(0);
 }
 
 bool entry_host::apply_config(const stored_object& object) {
     if (relay_.state().routing && object.revision <= config_revision_) {
-        return true; // What is in force is as new: revisions only rise, or a lagging reading would undo one.
+        return true; // Revisions only rise, so that an outdated reading never replaces a newer configuration.
     }
     const outcome<traffic_config> decoded = codec_.config(object);
     if (const error* failure = error_of(decoded)) {
@@ -237,7 +241,7 @@
     const std::size_t hosts = gossip_.live(monotonic_now()).size();
     relay_.set_routing(std::make_shared<const routing_table>(config), hosts);
     gossip_.set_config_revision(object.revision);
-    tell_copies(notice_scope::change);
+    send_copy_notice(notice_scope::change);
     return true;
 }
 
@@ -246,7 +250,7 @@
     for (const auto& [name, object] : objects) {
         const outcome<endpoint_record> decoded = codec_.endpoint(object);
         if (const error* failure = error_of(decoded)) {
-            note_refused_endpoint(object, failure->message);
+            log_invalid_endpoint(object, failure->message);
             continue;
         }
         listed.push_back(*value_of(decoded));
@@ -254,24 +258,25 @@
     roster_.update(listed, monotonic_now());
     log_info("endpoints_listed", {{"count", listed.size()}, {"lapsed", roster_.has_lapsed()}});
     refresh_endpoints();
-    tell_copies(notice_scope::change);
+    send_copy_notice(notice_scope::change);
 }
 
-// Once for each revision: the list is read anew at every change, of which there are several a second.
-void entry_host::note_refused_endpoint(const stored_object& object, const std::string& remedy) {
-    std::int64_t& logged = refused_endpoints_[object.name];
+// Logs each revision once, because the whole list is decoded again at every change, several times a second.
+void entry_host::log_invalid_endpoint(const stored_object& object, const std::string& remedy) {
+    std::int64_t& logged = logged_invalid_endpoints_[object.name];
     if (logged == object.revision) {
         return;
     }
     logged = object.revision;
     log_error("endpoint_refused",
               {{"endpoint", object.name}, {"revision", object.revision}, {"remedy", remedy}});
-    if (refused_endpoints_.size() > most_refused_endpoints) {
-        refused_endpoints_.clear();
+    if (logged_invalid_endpoints_.size() > max_logged_invalid_endpoints) {
+        logged_invalid_endpoints_.clear();
     }
 }
 
-// Nothing of it waits: what was chosen before and has not been sent goes at once, all else is chosen anew.
+// Takes effect without delay. A request that has chosen its endpoint before and only waits for the connection
+// is still sent there; all other requests choose an endpoint that is not evacuated.
 void entry_host::on_evacuations(const objects_by_name& objects) {
     evacuation_set ordered;
     for (const auto& [name, object] : objects) {
@@ -289,7 +294,7 @@
         relay_.state().endpoints.allowance().set_evacuated(evacuated_, monotonic_now());
         refresh_endpoints();
     }
-    tell_copies(notice_scope::change);
+    send_copy_notice(notice_scope::change);
 }
 
 void entry_host::refresh_endpoints() {
@@ -318,7 +323,7 @@
     gossip_.set_state("leaving");
     const time_point now = monotonic_now();
     (void)gossip_.next_targets(now);
-    const std::string bytes = encode_peer_message(make_news(now));
+    const std::string bytes = encode_peer_message(make_gossip_message(now));
     send_to_others(gossip_.live(now), bytes);
     loop_.every(stop_interval, [this] { advance_stop(); });
 }
--- a/src/host/entry_host_rollouts.cpp
+++ b/src/host/entry_host_rollouts.cpp
@@ -1,4 +1,5 @@
-// How entry hosts carry out roll-outs together: who decides, what those hear, and who reports.
+// How entry hosts carry out roll-outs together: which hosts decide, what they base it on, and which host
+// reports.
 #include "host/entry_host.h"
 
 #include <algorithm>
@@ -7,24 +8,27 @@
 
 namespace {
 
-/// A host that has not reported by then is taken for dead or cut off, and the next one does: the report is
-/// due 0.5 s before the time limit. At 0.6 s the second host of a small fleet was too late.
-constexpr duration reporters_patience = milliseconds(250);
-/// Hosts that are asked to write a report; most of them reach a store that turns away a third.
-constexpr std::size_t hosts_of_handover = 3;
-/// Until the store's own news of a report is here, which readers of a large fleet gather for 0.8 s. Without
-/// it each report was written three times.
-constexpr duration report_echo = milliseconds(1200);
-/// Counts that decide on a roll-out go to those that decide in every second round: 295 hosts send each of
-/// them 370 messages a second.
+/// If a host has not reported after this time, it is assumed to be dead or unreachable and the next host
+/// reports. The report is due 0.5 s before the time limit; with 0.6 s the second host of a small fleet was
+/// too late.
+constexpr duration reporter_takeover_delay = milliseconds(250);
+/// Hosts that are asked to write a report. Most of them are served even if the store refuses a third of the
+/// hosts.
+constexpr std::size_t handover_hosts = 3;
+/// Time until the store's watch confirms a written report, including the 0.8 s for which readers of a large
+/// fleet batch changes. Without this pause each report was written three times.
+constexpr duration report_confirmation_time = milliseconds(1200);
+/// Counts are sent to the hosts that decide on roll-outs in every second gossip round. At this rate 295 hosts
+/// send each of them 370 messages a second.
 constexpr std::uint64_t rounds_between_counts = 2;
-/// Counts that have not changed go again in every fourth round: another host may decide now, or the message
-/// was lost.
+/// Unchanged counts are sent again in every fourth gossip round, because another host may decide by now or
+/// the message may have been lost.
 constexpr std::uint64_t rounds_between_repeats = 4;
-/// For the counts of every second round, and a message lost.
-constexpr duration count_hearing_time = milliseconds(1700);
+/// Time in which the counts of all hosts arrive at a host that has begun to decide: two gossip rounds, and as
+/// many again for a lost message.
+constexpr duration count_collection_time = milliseconds(1700);
 
-/// Within this after the store has dropped its history everything has been listed anew.
+/// Time within which all objects have been listed again after the store has dropped its history.
 constexpr duration relisting_time = milliseconds(1000);
 
 } // namespace
@@ -40,82 +44,82 @@
         orders.push_back(*value_of(decoded));
     }
     const time_point now = monotonic_now();
-    const bool was_deaf = history_gone_at_ && now - *history_gone_at_ < relisting_time;
-    rollouts_.set_orders(orders, now, was_deaf ? deaf_time : duration::zero());
-    tell_copies(notice_scope::change);
+    const bool may_have_missed_orders = history_gone_at_ && now - *history_gone_at_ < relisting_time;
+    rollouts_.set_orders(orders, now, may_have_missed_orders ? deaf_time : duration::zero());
+    send_copy_notice(notice_scope::change);
 }
 
-// Load pattern: 295 hosts, each of which tells three others of its counts every 0.4 s. Everyone had heard of
-// half of the others at the end of a roll-out of 24 s, and took the counts of each that it heard of for the
-// first time for a burst, so that a good release was not moved in time. So all send theirs to the few that
-// decide.
-void entry_host::tell_counts(time_point now) {
+// Load pattern: 295 hosts, each of which sends its counts to three others every 0.4 s. At the end of a
+// roll-out of 24 s every host had received the counts of half of the others, and it mistook the first counts
+// of each for a burst of requests, so that a good release was not moved in time. All hosts therefore send
+// their counts to the few hosts that decide.
+void entry_host::send_counts_when_due(time_point now) {
     const bool is_due = ++rounds_ % rounds_between_counts == 0;
     if (!is_due || !is_large_fleet(now) || !rollouts_.is_open()) {
         return;
     }
     const std::vector<release_counts> counts = rollouts_.own_counts();
-    if (counts == told_counts_ && rounds_ % rounds_between_repeats != 0) {
+    if (counts == last_sent_counts_ && rounds_ % rounds_between_repeats != 0) {
         return;
     }
     send_counts(counts, now);
 }
 
-// Against a bad release that is reported complete: a release that fails only under everybody's load gave 50
-// bad answers in the second after the move, and the report was made on counts that were 0.8 s old. At each
-// look, a quarter of a second apart, they are there in time.
-void entry_host::tell_counts_of_settling(time_point now) {
+// Guards against reporting a bad release as complete. A release that fails only under the full load gave 50
+// bad answers in the second after all requests were moved to it, but the report was based on counts that were
+// 0.8 s old. Called every quarter of a second, this sends changed counts in time.
+void entry_host::send_counts_while_settling(time_point now) {
     if (!is_large_fleet(now) || !rollouts_.is_settling()) {
         return;
     }
     const std::vector<release_counts> counts = rollouts_.own_counts();
-    if (counts != told_counts_) {
+    if (counts != last_sent_counts_) {
         send_counts(counts, now);
     }
 }
 
 void entry_host::send_counts(const std::vector<release_counts>& counts, time_point now) {
-    told_counts_ = counts;
+    last_sent_counts_ = counts;
     const std::string reporter = settings_.name + "/" + std::to_string(gossip_.self().incarnation);
-    send_to_others(readers_among(gossip_.live(now)), encode_peer_message(count_news{reporter, counts}));
+    send_to_others(select_readers(gossip_.live(now)), encode_peer_message(count_update{reporter, counts}));
 }
 
-void entry_host::take(const std::string&, const count_news& news) {
-    rollouts_.merge(news.reporter, news.counts, {}, monotonic_now());
+void entry_host::handle(const std::string&, const count_update& message) {
+    rollouts_.merge(message.reporter, message.counts, {}, monotonic_now());
 }
 
-// Those that read the store hear of everything; on a small fleet these are all.
-void entry_host::note_who_decides(time_point now) {
+// Hosts that read the store receive the counts of all hosts; on a small fleet these are all hosts.
+void entry_host::update_deciding_role(time_point now) {
     if (!reads_everything()) {
         hears_all_since_.reset();
     } else if (!hears_all_since_) {
         hears_all_since_ = now;
     }
-    rollouts_.set_hears_all(hears_all_since_ && now - *hears_all_since_ > count_hearing_time);
+    rollouts_.set_hears_all(hears_all_since_ && now - *hears_all_since_ > count_collection_time);
 }
 
-// A brake or a move at once to everybody: from hand to hand it takes two seconds among 295 hosts, in which a
-// bad release goes on getting requests, and a good one is moved late.
-void entry_host::tell_decisions(time_point now) {
+// Sends a brake or a move to all hosts at once. By gossip alone it takes two seconds among 295 hosts, in
+// which a bad release continues to receive requests and a good one is moved late.
+void entry_host::send_new_decisions(time_point now) {
     std::vector<rollout_news> decisions = rollouts_.own_news(now);
     for (rollout_news& decision : decisions) {
         decision.age_ms = 0;
     }
-    const bool is_new = decisions != told_decisions_;
-    told_decisions_ = std::move(decisions);
+    const bool is_new = decisions != last_sent_decisions_;
+    last_sent_decisions_ = std::move(decisions);
     if (is_new && reads_everything() && is_large_fleet(now)) {
-        peer_news news;
-        news.statuses = {gossip_.self()};
-        news.rollouts = rollouts_.own_news(now);
-        send_to_others(gossip_.live(now), encode_peer_message(news));
+        gossip_message message;
+        message.statuses = {gossip_.self()};
+        message.rollouts = rollouts_.own_news(now);
+        send_to_others(gossip_.live(now), encode_peer_message(message));
     }
 }
 
-// 0 is the one that reports first.
-std::size_t entry_host::place_among_reporters(time_point now) const {
+// Returns 0 for the host that reports first.
+std::size_t entry_host::reporter_position(time_point now) const {
     const std::vector<host_status>& hosts = gossip_.live(now);
     if (is_large_fleet(now)) {
-        return place_among_readers(settings_.name, hosts).overall;
+        return find_reader_position(settings_.name, hosts).overall;
     }
     std::size_t place = 0;
     for (const host_status& host : hosts) {
@@ -127,8 +131,9 @@
     return place;
 }
 
-// Any host that hears everything may report: the write holds only at the revision that the decision was made
-// on, so that one that was paused meanwhile changes nothing. One host at a time saves calls.
+// Any host that receives all counts may report. The write is conditional on the revision on which the
+// decision was based, so a host that was paused meanwhile changes nothing. Only one host at a time reports,
+// to save calls.
 void entry_host::advance_rollouts() {
     const time_point now = monotonic_now();
     std::map<std::string, time_point> still_due;
@@ -136,21 +141,21 @@
         const std::string key = due.order.service + "/" + to_string(due.state);
         const auto known = due_since_.find(key);
         still_due[key] = known == due_since_.end() ? now : known->second;
-        if (now - still_due[key] >= reporters_patience * place_among_reporters(now)) {
+        if (now - still_due[key] >= reporter_takeover_delay * reporter_position(now)) {
             report(due);
         }
     }
     due_since_ = std::move(still_due);
-    tell_decisions(now);
+    send_new_decisions(now);
 }
 
 void entry_host::report(const rollout_report& due) {
-    // Those that go by copies see the report confirmed later than the others' patience lasts, and 295 of
-    // them would write it each.
+    // Hosts that use copies see a report confirmed only after the takeover delay, so that each of 295 hosts
+    // would write it.
     if (!reads_everything()) {
         return;
     }
-    if (!rollout_watch_.is_listed() || !writing_.insert(due.order.service).second) {
+    if (!rollout_watch_.is_listed() || !reports_in_flight_.insert(due.order.service).second) {
         return;
     }
     log_info("rollout_report", {{"service", due.order.service},
@@ -160,10 +165,10 @@
     write_report(due.order, due.state, [this, due](const store_result<stored_object>& result) {
         const store_failure* failure = std::get_if<store_failure>(&result);
         if (failure != nullptr && *failure != store_failure::conflict) {
-            hand_over(due);
+            hand_over_report(due);
         }
-        const duration rest = failure == nullptr ? report_echo : duration::zero();
-        loop_.after(rest, [this, service = due.order.service] { writing_.erase(service); });
+        const duration rest = failure == nullptr ? report_confirmation_time : duration::zero();
+        loop_.after(rest, [this, service = due.order.service] { reports_in_flight_.erase(service); });
     });
 }
 
@@ -173,34 +178,34 @@
                           codec_.rollout_status(order, state), std::move(done));
 }
 
-// Against a store that turns away just the hosts that decide: a sound release was reported after its time
-// limit, when others had become readers. The write is conditional, so that several may try it.
-void entry_host::hand_over(const rollout_report& due) {
+// Guards against a store that refuses exactly the hosts that decide. A good release was then reported after
+// its time limit, when other hosts had become readers. The write is conditional, so several hosts may try it.
+void entry_host::hand_over_report(const rollout_report& due) {
     const time_point now = monotonic_now();
     const bool is_needed =
-        is_large_fleet(now) && due.state != rollout_state::running; // Of a small one all decide.
+        is_large_fleet(now) && due.state != rollout_state::running; // On a small fleet all hosts decide.
     if (!is_needed || !handed_over_.insert(due.order.revision).second) {
         return;
     }
-    std::vector<host_status> others = relays_among(gossip_.live(now));
+    std::vector<host_status> others = select_relays(gossip_.live(now));
     others.erase(std::remove_if(others.begin(), others.end(),
                                 [this](const host_status& host) { return host.name == settings_.name; }),
                  others.end());
-    others.resize(std::min(others.size(), hosts_of_handover));
-    const report_handover errand{due.order.service, due.order.release, due.state, due.order.revision};
-    send_to_others(others, encode_peer_message(errand));
+    others.resize(std::min(others.size(), handover_hosts));
+    const report_handover handover{due.order.service, due.order.release, due.state, due.order.revision};
+    send_to_others(others, encode_peer_message(handover));
 }
 
-void entry_host::take(const std::string& from, const report_handover& errand) {
-    log_info("rollout_report", {{"service", errand.service},
-                                {"release", errand.release},
-                                {"state", to_string(errand.state)},
+void entry_host::handle(const std::string& from, const report_handover& handover) {
+    log_info("rollout_report", {{"service", handover.service},
+                                {"release", handover.release},
+                                {"state", to_string(handover.state)},
                                 {"reason", "handed over by " + from}});
     rollout_order order;
-    order.service = errand.service;
-    order.release = errand.release;
-    order.revision = errand.revision;
-    write_report(order, errand.state, [](const store_result<stored_object>&) {});
+    order.service = handover.service;
+    order.release = handover.release;
+    order.revision = handover.revision;
+    write_report(order, handover.state, [](const store_result<stored_object>&) {});
 }
 
 } // namespace laurelhoist
