--- a/src/host/entry_host.cpp
+++ b/src/host/entry_host.cpp
@@ -119,9 +119,9 @@
 void entry_host::start() {
     set_seeds(settings_.seeds);
     relay_.state().on_load_changed = [this] { on_load_changed(); };
-    relay_.state().on_refused = [this](const std::string& endpoint) { on_refused(endpoint); };
-    relay_.state().on_crash_news = [this] { on_crash_news(); };
-    relay_.state().on_limit_news = [this] { on_limit_news(); };
+    relay_.state().on_connection_refused = [this](const std::string& endpoint) { on_refused(endpoint); };
+    relay_.state().on_crash_notices_changed = [this] { on_crash_news(); };
+    relay_.state().on_limits_changed = [this] { on_limit_news(); };
     relay_.listen(settings_.callers);
     started_at_ = monotonic_now();
     reading_since_ = started_at_;
--- a/src/host/entry_host_peers.cpp
+++ b/src/host/entry_host_peers.cpp
@@ -81,8 +81,8 @@
     const std::string reporter = sender + "/" + std::to_string(news.statuses.front().incarnation);
     rollouts_.merge(reporter, news.counts, news.rollouts, now);
     take_refusals(news.refused);
-    relay_.take_crash_notices(news.crashes);
-    relay_.take_limit_notices(news.limits);
+    relay_.merge_crash_notices(news.crashes);
+    relay_.merge_limit_notices(news.limits);
 }
 
 // Without it a host that starts hears of the others when one of them picks it at random, up to a second
@@ -261,7 +261,7 @@
 }
 
 void entry_host::take(const std::string&, const limit_news& news) {
-    relay_.take_limit_notices(news.limits);
+    relay_.merge_limit_notices(news.limits);
 }
 
 void entry_host::assign_trials(time_point now) {
@@ -319,7 +319,7 @@
 }
 
 void entry_host::take(const std::string&, const crash_news& news) {
-    relay_.take_crash_notices(news.crashes);
+    relay_.merge_crash_notices(news.crashes);
 }
 
 void entry_host::take(const std::string& from, const freshness_question& question) {
--- a/src/relay/attempt_rules.cpp
+++ b/src/relay/attempt_rules.cpp
@@ -8,17 +8,17 @@
 
 namespace {
 
-follow_up_step final_step(const attempt_record& record, attempt_end end) {
-    if (record.has_begun_answer) {
-        return follow_up_step::cut;
+follow_up_step final_step(const retry_context& context, attempt_end end) {
+    if (context.has_begun_answer) {
+        return follow_up_step::abort_answer;
     }
     if (end == attempt_end::failed) {
-        return follow_up_step::deliver;
+        return follow_up_step::forward_failure;
     }
-    if (!record.may_have_run) {
+    if (!context.may_have_run) {
         return follow_up_step::refuse;
     }
-    return record.is_expired ? follow_up_step::expire : follow_up_step::fail;
+    return context.is_expired ? follow_up_step::expire : follow_up_step::fail;
 }
 
 /// Streams last up to 5 s at the usual load, so one that starts within this of a stop of 7.5 s ends in it.
@@ -48,20 +48,20 @@
     return "unknown";
 }
 
-follow_up_step after_attempt(const attempt_record& record, attempt_end end) {
-    if (record.is_caller_gone) {
-        return follow_up_step::forget;
+follow_up_step next_step_after(const retry_context& context, attempt_end end) {
+    if (context.is_caller_gone) {
+        return follow_up_step::discard;
     }
-    const bool may_run_again = record.may_repeat || (!record.may_have_run && proves_not_run(end));
+    const bool may_run_again = context.may_repeat || (!context.may_have_run && proves_not_run(end));
     // An endpoint that could not be reached was not sent to, but a row of them must end as well.
-    const bool has_attempts_left = record.attempts < record.max_attempts;
-    if (may_run_again && has_attempts_left && !record.is_expired && record.has_budget) {
-        return follow_up_step::try_again;
+    const bool has_attempts_left = context.attempts < context.max_attempts;
+    if (may_run_again && has_attempts_left && !context.is_expired && context.has_budget) {
+        return follow_up_step::retry;
     }
-    return final_step(record, end);
+    return final_step(context, end);
 }
 
-bool may_start_while_stopping(const traffic_route& route, duration since, duration stop_time) {
+bool can_finish_before_stop(const traffic_route& route, duration since, duration stop_time) {
     if (route.kind == route_kind::stream) {
         return since < stream_start_window;
     }
--- a/src/relay/attempt_rules.h
+++ b/src/relay/attempt_rules.h
@@ -26,7 +26,7 @@
 bool proves_not_run(attempt_end end);
 
 /** What is known of a request when one of its attempts has ended. */
-struct attempt_record {
+struct retry_context {
     bool may_repeat = false;       ///< \see traffic_route::may_repeat
     bool may_have_run = false;     ///< in this attempt or an earlier one
     bool has_begun_answer = false; ///< the caller has received a part
@@ -38,21 +38,21 @@
 };
 
 enum class follow_up_step {
-    try_again, ///< at another endpoint; a stream goes on after its last event
+    retry, ///< at another endpoint; a stream goes on after its last event
     refuse,    ///< 503: not run, and never will be
     fail,      ///< 502: it may have run
     expire,    ///< 504: it may have run, and the time is up
-    deliver,   ///< the endpoint's own failure, as it is
-    cut,       ///< a begun answer that cannot be completed: close, so that it does not look whole
-    forget,    ///< the caller has left
+    forward_failure,   ///< the endpoint's own failure, as it is
+    abort_answer,       ///< a begun answer that cannot be completed: close, so that it does not look whole
+    discard,    ///< the caller has left
 };
 
 /** \return what to do after an attempt that ended with \p end. */
-follow_up_step after_attempt(const attempt_record& record, attempt_end end);
+follow_up_step next_step_after(const retry_context& context, attempt_end end);
 
 /** \param since the planned stop began \param stop_time from its beginning to the end of the process
  * \return whether a request on \p route that arrives now is over before the process ends, whatever happens;
  * of a stream, whose time limit is longer than any stop, whether it usually is */
-bool may_start_while_stopping(const traffic_route& route, duration since, duration stop_time);
+bool can_finish_before_stop(const traffic_route& route, duration since, duration stop_time);
 
 } // namespace laurelhoist
--- a/src/relay/caller_connection.cpp
+++ b/src/relay/caller_connection.cpp
@@ -33,15 +33,15 @@
       limits_{limits},
       events_{events},
       reader_{limits.header_bytes, limits.body_bytes},
-      quiet_since_{monotonic_now()} {
+      timeout_start_{monotonic_now()} {
     set_liveness_options(socket_);
 }
 
 void caller_connection::start() {
-    read_on();
+    start_read();
 }
 
-void caller_connection::read_on() {
+void caller_connection::start_read() {
     socket_.async_read_some(asio::buffer(incoming_),
                             [self = shared_from_this()](asio_error failure, std::size_t bytes) {
                                 if (failure) {
@@ -53,15 +53,15 @@
 }
 
 void caller_connection::on_read(std::size_t bytes) {
-    if (!reader_.is_midway()) {
-        quiet_since_ = monotonic_now();
+    if (!reader_.has_partial_request()) {
+        timeout_start_ = monotonic_now();
     }
     reader_.feed({incoming_.data(), bytes});
     if (!is_serving_) {
         read_requests();
     }
     if (!is_closed_) {
-        read_on();
+        start_read();
     }
 }
 
@@ -73,13 +73,13 @@
         write("HTTP/1.1 100 Continue\r\n\r\n");
         return;
     case request_reader::progress::malformed:
-        refuse(status_bad_request, "send a valid HTTP/1.1 request");
+        reject(status_bad_request, "send a valid HTTP/1.1 request");
         return;
     case request_reader::progress::header_too_large:
-        refuse(status_headers_too_large, "send shorter headers");
+        reject(status_headers_too_large, "send shorter headers");
         return;
     case request_reader::progress::body_too_large:
-        refuse(status_body_too_large, "send a smaller body");
+        reject(status_body_too_large, "send a smaller body");
         return;
     case request_reader::progress::complete:
         is_serving_ = true;
@@ -88,8 +88,8 @@
     }
 }
 
-void caller_connection::refuse(int status, const std::string& remedy) {
-    events_.on_refused(status);
+void caller_connection::reject(int status, const std::string& remedy) {
+    events_.on_rejected(status);
     const std::string body = json{{"error", "request_refused"}, {"remedy", remedy}}.dump();
     std::string answer = status_line(status);
     append_header(answer, "Content-Type", "application/json");
@@ -137,7 +137,7 @@
 }
 
 void caller_connection::finish(bool keeps_alive) {
-    gone_ = nullptr;
+    on_gone_ = nullptr;
     if (is_closed_) {
         return;
     }
@@ -149,7 +149,7 @@
         return;
     }
     is_serving_ = false;
-    quiet_since_ = monotonic_now();
+    timeout_start_ = monotonic_now();
     // Not from here: the one that finishes may still be at work on this connection.
     asio::post(socket_.get_executor(), [self = shared_from_this()] {
         if (!self->is_closed_ && !self->is_serving_) {
@@ -159,34 +159,34 @@
 }
 
 void caller_connection::abort() {
-    gone_ = nullptr;
+    on_gone_ = nullptr;
     asio_error ignored;
     // A reset, not an orderly end: an answer without a length would look complete.
     socket_.set_option(asio::socket_base::linger(true, 0), ignored);
     close();
 }
 
-bool caller_connection::has_left() {
+bool caller_connection::has_disconnected() {
     char next = 0;
     const auto seen = ::recv(socket_.native_handle(), &next, 1, MSG_PEEK | MSG_DONTWAIT);
     const bool has_nothing = seen < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR);
     return is_closed_ || seen == 0 || (seen < 0 && !has_nothing);
 }
 
-void caller_connection::check_time(time_point now) {
+void caller_connection::check_timeouts(time_point now) {
     if (is_serving_ || is_closed_ || is_closing_) {
         return;
     }
-    const duration quiet = now - quiet_since_;
-    if (reader_.is_midway() && quiet > limits_.header_time) {
-        refuse(status_request_timeout, "send the whole request without pauses");
+    const duration quiet = now - timeout_start_;
+    if (reader_.has_partial_request() && quiet > limits_.header_time) {
+        reject(status_request_timeout, "send the whole request without pauses");
     } else if (quiet > limits_.idle_time + idle_slack) {
         close();
     }
 }
 
 bool caller_connection::close_if_idle() {
-    if (is_serving_ || reader_.is_midway()) {
+    if (is_serving_ || reader_.has_partial_request()) {
         return false;
     }
     close();
@@ -200,8 +200,8 @@
     is_closed_ = true;
     asio_error ignored;
     socket_.close(ignored);
-    const std::function<void()> gone = std::move(gone_);
-    gone_ = nullptr;
+    const std::function<void()> gone = std::move(on_gone_);
+    on_gone_ = nullptr;
     if (gone) {
         gone();
     }
--- a/src/relay/caller_connection.h
+++ b/src/relay/caller_connection.h
@@ -21,7 +21,7 @@
         /// A request has been read whole; it is answered through the connection.
         std::function<void(const std::shared_ptr<caller_connection>&, caller_request&&)> on_request;
         /// Bytes that are no acceptable request were answered with \c status.
-        std::function<void(int status)> on_refused;
+        std::function<void(int status)> on_rejected;
         std::function<void(const std::shared_ptr<caller_connection>&)> on_closed;
     };
 
@@ -30,7 +30,7 @@
 
     void start();
     /** Sets what to do when the caller leaves before its answer is complete. */
-    void on_caller_gone(std::function<void()> work) { gone_ = std::move(work); }
+    void on_caller_gone(std::function<void()> work) { on_gone_ = std::move(work); }
     /** Adds \p bytes to the answer; bytes of one turn of the loop leave in one write. */
     void write(std::string_view bytes);
     /** Ends the answer. \param keeps_alive whether the caller may send another request */
@@ -38,21 +38,21 @@
     /** Closes at once, so that a begun answer cannot be taken for whole. */
     void abort();
     /** Closes if it is idle too long, or a request takes too long to arrive. */
-    void check_time(time_point now);
+    void check_timeouts(time_point now);
     /** Closes if no request is on its way. \return whether it has closed */
     bool close_if_idle();
 
     /** \return whether the caller has closed the connection, also if this has not been read yet. Costs a
      * system call. */
-    bool has_left();
+    bool has_disconnected();
     bool is_serving() const { return is_serving_; }
     std::size_t unsent_bytes() const { return outgoing_.size() + in_flight_.size(); }
 
 private:
-    void read_on();
+    void start_read();
     void on_read(std::size_t bytes);
     void read_requests();
-    void refuse(int status, const std::string& remedy);
+    void reject(int status, const std::string& remedy);
     void flush();
     void on_written(bool has_failed);
     void close();
@@ -64,8 +64,8 @@
     std::array<char, 8192> incoming_{}; ///< most requests arrive in two reads
     std::string outgoing_;
     std::string in_flight_;
-    std::function<void()> gone_;
-    time_point quiet_since_;
+    std::function<void()> on_gone_;
+    time_point timeout_start_;
     bool is_serving_ = false;
     bool is_flushing_ = false;
     bool is_flush_posted_ = false;
--- a/src/relay/end_confirmation.h
+++ b/src/relay/end_confirmation.h
@@ -31,20 +31,20 @@
     end_confirmation(connection_pool& pool, std::function<void(const std::vector<suspected_end>&)> on_ended)
         : pool_{pool}, on_ended_{std::move(on_ended)} {}
 
-    /** A connection to the endpoint at \p address broke under a request. One question is asked for all that
+    /** A connection to the endpoint at \p address broke under a request. One probe is asked for all that
      * break together. */
-    void ask(const std::string& address, const suspected_end& suspected, time_point now);
+    void probe_endpoint(const std::string& address, const suspected_end& suspected, time_point now);
     /** Gives up questions without an answer; to be called a few times a second. */
     void expire(time_point now);
 
 private:
-    class question;
+    class probe;
 
-    void settle(const std::string& address, bool has_ended);
+    void resolve(const std::string& address, bool has_ended);
 
     connection_pool& pool_;
     std::function<void(const std::vector<suspected_end>&)> on_ended_;
-    std::map<std::string, std::shared_ptr<question>> questions_; ///< by address
+    std::map<std::string, std::shared_ptr<probe>> probes_; ///< by address
 };
 
 } // namespace laurelhoist
--- a/src/relay/endpoint_connection.cpp
+++ b/src/relay/endpoint_connection.cpp
@@ -15,7 +15,7 @@
 
 /// To one endpoint. Endpoints bound their connections over all hosts and reset what is beyond; requests that
 /// may not repeat each bring a new one, and kept, these used up the bound.
-constexpr std::size_t most_idle = 3;
+constexpr std::size_t max_idle_connections = 3;
 
 } // namespace
 
@@ -52,7 +52,7 @@
                                   return;
                               }
                               self->is_connected_ = true;
-                              self->read_on();
+                              self->start_read();
                               self->observer_->on_connected();
                           });
 }
@@ -60,11 +60,11 @@
 void endpoint_connection::send(std::string bytes) {
     outgoing_.push_back(std::move(bytes));
     if (outgoing_.size() == 1) {
-        write_on();
+        start_write();
     }
 }
 
-void endpoint_connection::write_on() {
+void endpoint_connection::start_write() {
     asio::async_write(socket_, asio::buffer(outgoing_.front()),
                       [self = shared_from_this()](asio_error failure, std::size_t) {
                           if (failure || self->outgoing_.empty()) {
@@ -72,16 +72,16 @@
                           }
                           self->outgoing_.pop_front();
                           if (!self->outgoing_.empty()) {
-                              self->write_on();
+                              self->start_write();
                           }
                       });
 }
 
-void endpoint_connection::read_on() {
+void endpoint_connection::start_read() {
     socket_.async_read_some(
         asio::buffer(incoming_), [self = shared_from_this()](asio_error failure, std::size_t bytes) {
             if (failure) {
-                self->end(failure == asio::error::eof ? connection_end::finished : connection_end::broken);
+                self->close_and_notify(failure == asio::error::eof ? connection_end::finished : connection_end::broken);
                 return;
             }
             if (self->observer_ == nullptr) {
@@ -90,16 +90,16 @@
             }
             self->observer_->on_received({self->incoming_.data(), bytes});
             if (self->socket_.is_open()) {
-                self->read_on();
+                self->start_read();
             }
         });
 }
 
-void endpoint_connection::end(connection_end how) {
+void endpoint_connection::close_and_notify(connection_end reason) {
     connection_observer* observer = observer_;
     close();
     if (observer != nullptr) {
-        observer->on_closed(how);
+        observer->on_closed(reason);
     }
 }
 
@@ -128,11 +128,11 @@
 
 void connection_pool::keep(std::shared_ptr<endpoint_connection> connection, time_point until) {
     auto& idle = idle_[connection->address()];
-    if (idle.size() >= most_idle) {
+    if (idle.size() >= max_idle_connections) {
         connection->close();
         return;
     }
-    connection->observe(nullptr);
+    connection->set_observer(nullptr);
     connection->idle_until = until;
     idle.push_back(std::move(connection));
 }
--- a/src/relay/endpoint_connection.h
+++ b/src/relay/endpoint_connection.h
@@ -48,7 +48,7 @@
 
     void connect(connection_observer& observer);
     /** Sets who is told; null for an idle connection, which closes itself at any byte or end. */
-    void observe(connection_observer* observer) { observer_ = observer; }
+    void set_observer(connection_observer* observer) { observer_ = observer; }
     void send(std::string bytes);
     /** Closes at once; the observer is not told. */
     void close();
@@ -60,9 +60,9 @@
     time_point idle_until; ///< when the pool drops it
 
 private:
-    void read_on();
-    void write_on();
-    void end(connection_end how);
+    void start_read();
+    void start_write();
+    void close_and_notify(connection_end reason);
 
     boost::asio::ip::tcp::socket socket_;
     std::string address_;
--- a/src/relay/exchange.cpp
+++ b/src/relay/exchange.cpp
@@ -11,31 +11,31 @@
 constexpr int status_gateway_timeout = 504;
 
 /// A connection on one network takes a few ms; a host that does not answer within this has gone.
-constexpr duration connect_limit = milliseconds(1000);
+constexpr duration connect_timeout = milliseconds(1000);
 /// Endpoints that turn out to be gone, one after another, before a request is given up. With two in three
 /// gone, a row of eight comes once in 25 requests; with 3, one in three was refused beside sound endpoints.
-constexpr int most_detours = 8;
+constexpr int max_unreachable_endpoints = 8;
 /// A stream that pauses for so many times its allowed pause has stalled.
-constexpr int silent_gaps = 4;
-constexpr duration least_silence = seconds(2);
-constexpr int silent_objectives = 4;
+constexpr int gap_objectives_to_stall = 4;
+constexpr duration min_silence_limit = seconds(2);
+constexpr int latency_objectives_to_stall = 4;
 /// Of a request that reaches a host before it has read a configuration and endpoints: both come within 50 ms
 /// where the store answers, and a caller that is refused loses 500 ms.
-constexpr duration longest_early_wait = milliseconds(300);
-constexpr duration stopping_retry = milliseconds(100);
-constexpr duration unready_retry = milliseconds(500);
-constexpr duration full_retry = milliseconds(700);
-constexpr duration nowhere_retry = milliseconds(1000);
+constexpr duration max_configuration_wait = milliseconds(300);
+constexpr duration retry_after_stopping = milliseconds(100);
+constexpr duration retry_after_no_configuration = milliseconds(500);
+constexpr duration retry_after_full = milliseconds(700);
+constexpr duration retry_after_unavailable = milliseconds(1000);
 /// Part of the time to the next room by which callers are spread, or all would be back in the same instant.
-constexpr double retry_spread = 0.25;
+constexpr double retry_jitter = 0.25;
 /// Endpoints close connections that are idle for longer than they say; this is for those that say nothing.
-constexpr duration usual_idle_time = seconds(4);
+constexpr duration default_idle_time = seconds(4);
 constexpr duration idle_margin = seconds(1);
 
-duration spread_over(duration retry_after, const std::string& request) {
+duration add_jitter(duration retry_after, const std::string& request) {
     constexpr std::uint64_t steps = 1000;
     const double part = static_cast<double>(placement_hash(request) % steps) / static_cast<double>(steps);
-    return std::chrono::duration_cast<duration>(retry_after * (1.0 + retry_spread * part));
+    return std::chrono::duration_cast<duration>(retry_after * (1.0 + retry_jitter * part));
 }
 
 call_result to_call_result(attempt_end end) {
@@ -87,15 +87,15 @@
       state_{owner.state()},
       caller_{std::move(caller)},
       request_{std::move(request)},
-      phase_{state_.request_life.initial()} {}
+      exchange_state_{state_.request_life.initial()} {}
 
-void exchange::move(const char* event) {
-    const outcome<std::string> next = state_.request_life.next(phase_, event);
+void exchange::apply_event(const char* event) {
+    const outcome<std::string> next = state_.request_life.next(exchange_state_, event);
     const std::string* target = value_of(next);
     if (invariant("relay_follows_its_chart", target != nullptr, [&] {
-            return json{{"phase", phase_}, {"event", event}, {"request", terms_.id}};
+            return json{{"phase", exchange_state_}, {"event", event}, {"request", terms_.id}};
         })) {
-        phase_ = *target;
+        exchange_state_ = *target;
     }
 }
 
@@ -114,13 +114,13 @@
 // gets many requests in the 30 ms in which it reads the configuration. On eleven hosts 61 of the 141 requests
 // that ended in these two seconds were refused for it.
 void exchange::await_configuration(time_point now) {
-    if (state_.can_route() || now - arrived_at_ > longest_early_wait) {
+    if (state_.can_route() || now - arrived_at_ > max_configuration_wait) {
         begin();
     }
 }
 
 void exchange::begin() {
-    has_begun_ = true;
+    has_started_ = true;
     routing_ = state_.routing;
     if (!admit()) {
         return;
@@ -142,7 +142,7 @@
 bool exchange::admit() {
     if (!routing_) {
         answer_failure(status_unavailable, "no_configuration", "come back soon: this host has just started",
-                       unready_retry);
+                       retry_after_no_configuration);
         return false;
     }
     route_ = routing_->find_route(terms_.host, request_.path());
@@ -153,9 +153,9 @@
     if (!admit_team()) {
         return false;
     }
-    if (starts_too_late_to_stop()) {
+    if (would_outlast_stop()) {
         answer_failure(status_unavailable, "stopping", "connect to another entry: this one is stopping",
-                       stopping_retry);
+                       retry_after_stopping);
         return false;
     }
     return true;
@@ -176,18 +176,18 @@
     // was withdrawn cannot be told here.
     if (terms_.has_key && !state_.fence.admits(arrived_at_)) {
         answer_failure(status_unavailable, "configuration_unconfirmed",
-                       "connect to another entry: this one cannot check keys now", nowhere_retry);
+                       "connect to another entry: this one cannot check keys now", retry_after_unavailable);
         return false;
     }
     return true;
 }
 
-bool exchange::starts_too_late_to_stop() const {
+bool exchange::would_outlast_stop() const {
     if (!state_.is_stopping) {
         return false;
     }
     const duration since = arrived_at_ - state_.stopping_since;
-    return !may_start_while_stopping(*route_, since, state_.settings.stop_time);
+    return !can_finish_before_stop(*route_, since, state_.settings.stop_time);
 }
 
 void exchange::pick_service() {
@@ -206,26 +206,26 @@
     }
 }
 
-endpoint_wish exchange::make_wish() const {
+endpoint_wish exchange::make_placement_criteria() const {
     const release_choice release =
         state_.releases.choose(service_, {terms_.session, terms_.id, !tried_.empty()}, monotonic_now());
-    endpoint_wish wish;
-    wish.pool = service_;
-    wish.avoided = tried_;
-    wish.release = release.required;
-    wish.unwanted_release = release.unwanted;
-    wish.endpoint_share = state_.settings.in_use.tries_few_endpoints ? release.endpoint_share : 1.0;
-    return wish;
+    endpoint_wish criteria;
+    criteria.pool = service_;
+    criteria.avoided = tried_;
+    criteria.release = release.required;
+    criteria.unwanted_release = release.unwanted;
+    criteria.endpoint_share = state_.settings.in_use.tries_few_endpoints ? release.endpoint_share : 1.0;
+    return criteria;
 }
 
-exchange::model_placements exchange::placements_from(std::size_t least_size, std::size_t most,
-                                                     const endpoint_wish& wish, time_point now) {
+exchange::model_placements exchange::placements_from(std::size_t min_size, std::size_t max_count,
+                                                     const endpoint_wish& criteria, time_point now) {
     model_placements found;
     const std::size_t sizes = std::max<std::size_t>(1, route_->models.size());
-    for (std::size_t size = least_size; size < sizes && size - least_size < most; ++size) {
+    for (std::size_t size = min_size; size < sizes && size - min_size < max_count; ++size) {
         const std::string model = route_->models.empty() ? std::string{} : route_->models[size];
         const model_demand demand{model, state_.first_events.costs(model, size)};
-        if (const auto chosen = state_.endpoints.choose(wish, prompt_, demand, now)) {
+        if (const auto chosen = state_.endpoints.choose(criteria, prompt_, demand, now)) {
             found.options.push_back({size, chosen->predicted_ms});
             found.placements.push_back(*chosen);
         }
@@ -234,26 +234,26 @@
 }
 
 bool exchange::choose(time_point now) {
-    const endpoint_wish wish = make_wish();
+    const endpoint_wish criteria = make_placement_criteria();
     // The smallest first; one whose answer was not good enough goes to the largest that is still in time.
-    const bool is_step_up = least_size_ > 0;
-    const model_placements found = placements_from(least_size_, is_step_up ? most_sizes : 1, wish, now);
+    const bool is_step_up = min_model_size_ > 0;
+    const model_placements found = placements_from(min_model_size_, is_step_up ? no_size_limit : 1, criteria, now);
     if (found.options.empty()) {
         return false;
     }
     std::size_t best = 0;
     if (is_step_up) {
-        best = largest_in_time(found.options, route_->priority, step_up_time_ms(now)).value_or(0);
+        best = largest_model_in_time(found.options, route_->priority, step_up_budget_ms(now)).value_or(0);
     }
     attempt_ = attempt{};
     attempt_.chosen = found.placements[best];
     attempt_.model_rank = found.options[best].size;
     attempt_.model = route_->models.empty() ? std::string{} : route_->models[attempt_.model_rank];
-    attempt_.wish = wish;
+    attempt_.criteria = criteria;
     return true;
 }
 
-double exchange::step_up_time_ms(time_point now) const {
+double exchange::step_up_budget_ms(time_point now) const {
     if (!state_.settings.in_use.keeps_time) {
         return std::numeric_limits<double>::infinity();
     }
@@ -275,16 +275,16 @@
             }
         }
         if (!state_.endpoints.could_serve(service_, now)) {
-            note_bars(now);
+            report_barred_endpoints(now);
             answer_failure(may_have_run_ ? status_bad_gateway : status_unavailable, "no_endpoint",
-                           "come back later: no endpoint of the service takes work", time_to_room(now));
+                           "come back later: no endpoint of the service takes work", time_to_capacity(now));
         }
         return; // Waits; on_tick tries again.
     }
     open_connection();
 }
 
-void exchange::note_bars(time_point now) {
+void exchange::report_barred_endpoints(time_point now) {
     json reasons = json::object();
     for (const auto& [bar, count] : state_.endpoints.bars_of(service_, now)) {
         reasons[to_string(bar)] = count;
@@ -294,17 +294,17 @@
              {{"request", terms_.id}, {"service", service_}, {"endpoints_barred", reasons}});
 }
 
-duration exchange::time_to_room(time_point now) const {
-    return spread_over(state_.endpoints.allowance().room_in(service_, now).value_or(nowhere_retry),
+duration exchange::time_to_capacity(time_point now) const {
+    return add_jitter(state_.endpoints.allowance().room_in(service_, now).value_or(retry_after_unavailable),
                        terms_.id);
 }
 
 void exchange::open_connection() {
-    move("placed");
+    apply_event("placed");
     answer_.reset();
     const time_point now = monotonic_now();
-    state_.endpoints.on_sent(attempt_.chosen, prompt_, attempt_.wish, now);
-    note_load_change();
+    state_.endpoints.on_sent(attempt_.chosen, prompt_, attempt_.criteria, now);
+    notify_load_changed();
     state_.releases.on_started(release_key(), terms_.session, now);
     attempt_.sent_at = now;
     attempt_.heard_at = now;
@@ -313,7 +313,7 @@
     // was received. What may not be repeated gets a connection of its own.
     connection_ = route_->may_repeat() ? state_.pool.take_idle(address, now) : nullptr;
     if (connection_) {
-        connection_->observe(this);
+        connection_->set_observer(this);
         on_connected();
         return;
     }
@@ -327,7 +327,7 @@
     // Against a host that runs late: it reads requests seconds after they came, and the end of the caller's
     // connection waits behind them. On a fleet of 295 hosts requests were sent on 1.7 s after their callers
     // had left; looked at here, nothing is sent for those who have left before this moment.
-    if (caller_->has_left()) {
+    if (caller_->has_disconnected()) {
         state_.measured.count("callers_left_unread");
         on_caller_gone();
         return;
@@ -339,30 +339,30 @@
         return;
     }
     if (state_.endpoints.allowance().is_barred_since(attempt_.chosen.endpoint, attempt_.sent_at)) {
-        place_again();
+        cancel_and_redispatch();
         return;
     }
-    move("connected");
+    apply_event("connected");
     send_request();
 }
 
 // Against what became known while the connection was made: nothing has been sent, and this is no evidence
 // against the endpoint.
-void exchange::place_again() {
+void exchange::cancel_and_redispatch() {
     state_.measured.count("attempts_placed_again");
     settle_attempt(call_result::cancelled, release_evidence::none);
     release_connection(false);
     waiting_since_ = monotonic_now();
-    move("again");
+    apply_event("again");
     dispatch();
 }
 
 void exchange::on_connect_failed(connect_failure why) {
     auto self = shared_from_this();
     if (why == connect_failure::refused) {
-        owner_.note_refused(attempt_.chosen.endpoint.name);
+        owner_.report_connection_refused(attempt_.chosen.endpoint.name);
     }
-    ++detours_;
+    ++unreachable_endpoints_;
     end_attempt(attempt_end::not_sent);
 }
 
@@ -374,12 +374,12 @@
     terms.team = team_name();
     terms.model = attempt_.model;
     const int priority = team_ != nullptr && team_->priority ? *team_->priority : route_->priority;
-    constexpr int most_urgent_used = 3;
+    constexpr int base_urgency = 3;
     constexpr int least_urgent = 9;
-    terms.urgency = std::clamp(most_urgent_used + priority, 0, least_urgent);
+    terms.urgency = std::clamp(base_urgency + priority, 0, least_urgent);
     terms.resume_after = events_.last_id() > terms_.last_event_id ? events_.last_id() : 0;
     ++attempts_;
-    attempt_.events_before = events_.last_id();
+    attempt_.events_before_attempt = events_.last_id();
     start_reader();
     if (!state_.quarantine.is_empty()) {
         attempt_.is_trial = state_.quarantine.on_sent(digest(), now);
@@ -391,20 +391,20 @@
     const time_point now = monotonic_now();
     const duration took = now - attempt_.sent_at;
     if (result == call_result::answered) {
-        note_first_byte();
+        record_first_byte();
     }
     state_.endpoints.on_ended(attempt_.chosen, attempt_.has_first_byte, result, took, now);
     state_.releases.on_finished(release_key(), terms_.session, now, attempt_.sent_at,
                                 result == call_result::answered);
-    if (evidence != release_evidence::none && !attempt_.is_judged_slow) {
+    if (evidence != release_evidence::none && !attempt_.is_counted_slow) {
         state_.releases.on_outcome(release_key(), evidence == release_evidence::good);
     }
 }
 
 duration exchange::idle_time() const {
     const std::optional<duration> said = keep_alive_time(reader_->headers());
-    return said ? std::min(usual_idle_time, std::max<duration>(duration::zero(), *said - idle_margin))
-                : usual_idle_time;
+    return said ? std::min(default_idle_time, std::max<duration>(duration::zero(), *said - idle_margin))
+                : default_idle_time;
 }
 
 void exchange::release_connection(bool is_reusable) {
@@ -412,7 +412,7 @@
         return;
     }
     const bool may_keep = is_reusable && reader_ && reader_->is_complete() && reader_->keeps_alive() &&
-                          !has_surplus_ && connection_->is_open() && !connection_->has_unsent();
+                          !has_excess_bytes_ && connection_->is_open() && !connection_->has_unsent();
     if (may_keep) {
         state_.pool.keep(std::move(connection_), monotonic_now() + idle_time());
     } else {
@@ -436,43 +436,43 @@
     return {service_, attempt_.chosen.endpoint.release, route_->name};
 }
 
-attempt_record exchange::record() const {
-    attempt_record made;
-    made.may_repeat = route_->may_repeat();
-    made.may_have_run = may_have_run_;
-    made.has_begun_answer = has_begun_answer_;
-    made.attempts = attempts_;
-    made.max_attempts = route_->max_attempts;
-    made.is_caller_gone = is_caller_gone_;
-    made.is_expired = time_left(monotonic_now()) <= duration::zero();
-    return made;
+retry_context exchange::make_retry_context() const {
+    retry_context context;
+    context.may_repeat = route_->may_repeat();
+    context.may_have_run = may_have_run_;
+    context.has_begun_answer = has_begun_answer_;
+    context.attempts = attempts_;
+    context.max_attempts = route_->max_attempts;
+    context.is_caller_gone = is_caller_gone_;
+    context.is_expired = time_left(monotonic_now()) <= duration::zero();
+    return context;
 }
 
 void exchange::follow_up(attempt_end end) {
-    attempt_record made = record();
-    made.has_budget = detours_ < most_detours;
-    follow_up_step step = after_attempt(made, end);
+    retry_context context = make_retry_context();
+    context.has_budget = unreachable_endpoints_ < max_unreachable_endpoints;
+    follow_up_step step = next_step_after(context, end);
     const bool costs_retry = end != attempt_end::not_sent && end != attempt_end::declined;
-    if (step == follow_up_step::try_again && costs_retry && !state_.retry_budgets[service_].try_take()) {
-        made.has_budget = false;
+    if (step == follow_up_step::retry && costs_retry && !state_.retry_budgets[service_].try_take()) {
+        context.has_budget = false;
         state_.measured.count("retry_budget_empty");
-        step = after_attempt(made, end);
+        step = next_step_after(context, end);
     }
     switch (step) {
-    case follow_up_step::try_again:
+    case follow_up_step::retry:
         if (end != attempt_end::declined) {
             tried_.insert(attempt_.chosen.endpoint.name);
         }
         state_.measured.count("attempts_repeated");
         waiting_since_ = monotonic_now();
-        move("again");
+        apply_event("again");
         dispatch();
         return;
     case follow_up_step::refuse:
         answer_failure(status_unavailable, "refused", "come back later: the endpoints take no more work",
                        state_.endpoints.could_serve(service_, monotonic_now())
-                           ? full_retry
-                           : time_to_room(monotonic_now()));
+                           ? retry_after_full
+                           : time_to_capacity(monotonic_now()));
         return;
     case follow_up_step::fail:
         answer_failure(status_bad_gateway, "endpoint_failed",
@@ -482,14 +482,14 @@
         answer_failure(status_gateway_timeout, "expired",
                        "the request may have run: ask for its result before you send it again", {});
         return;
-    case follow_up_step::deliver:
-        deliver_whole("endpoint_failure");
+    case follow_up_step::forward_failure:
+        send_complete_answer("endpoint_failure");
         return;
-    case follow_up_step::cut:
+    case follow_up_step::abort_answer:
         caller_->abort();
         finish("cut", 0);
         return;
-    case follow_up_step::forget:
+    case follow_up_step::discard:
         finish("caller_gone", 0);
         return;
     }
@@ -498,7 +498,7 @@
 void exchange::on_caller_gone() {
     auto self = shared_from_this();
     is_caller_gone_ = true;
-    const bool is_sent = is_in("asked") || is_in("answering");
+    const bool is_sent = is_in_state("asked") || is_in_state("answering");
     if (is_sent && route_->kind == route_kind::non_idempotent) {
         return; // It runs once, now; cut, nobody could say whether it has run.
     }
@@ -514,27 +514,27 @@
         return duration::max();
     }
     if (has_begun_answer_) {
-        return std::max<duration>(least_silence, route_->gap_objective * silent_gaps);
+        return std::max<duration>(min_silence_limit, route_->gap_objective * gap_objectives_to_stall);
     }
-    return std::max<duration>(least_silence / 2, route_->latency_objective * silent_objectives);
+    return std::max<duration>(min_silence_limit / 2, route_->latency_objective * latency_objectives_to_stall);
 }
 
-duration exchange::longest_wait() const {
+duration exchange::max_queue_time() const {
     constexpr int share_of_objective = 2;
     return route_->latency_objective / share_of_objective;
 }
 
 void exchange::on_tick(time_point now) {
     auto self = shared_from_this();
-    if (!has_begun_) {
+    if (!has_started_) {
         await_configuration(now);
-    } else if (is_in("connecting") && now - attempt_.sent_at > connect_limit) {
+    } else if (is_in_state("connecting") && now - attempt_.sent_at > connect_timeout) {
         connection_->close();
         on_connect_failed(connect_failure::unreachable);
-    } else if (is_in("waiting")) {
-        if (now >= expires_at_ || now - waiting_since_ > longest_wait()) {
+    } else if (is_in_state("waiting")) {
+        if (now >= expires_at_ || now - waiting_since_ > max_queue_time()) {
             answer_failure(may_have_run_ ? status_gateway_timeout : status_unavailable, "no_room",
-                           "come back later: every endpoint of the service is full", full_retry);
+                           "come back later: every endpoint of the service is full", retry_after_full);
         } else {
             dispatch();
         }
@@ -544,14 +544,14 @@
 }
 
 void exchange::on_endpoint_restarted(const endpoint_record& endpoint) {
-    const bool is_under_way = is_in("connecting") || is_in("asked") || is_in("answering");
+    const bool is_under_way = is_in_state("connecting") || is_in_state("asked") || is_in_state("answering");
     if (is_under_way && is_restart_of(endpoint, attempt_.chosen.endpoint)) {
         auto self = shared_from_this();
-        if (is_in("asked") && may_have_ended_endpoint()) {
-            owner_.on_ended_under({end_under_this()});
+        if (is_in_state("asked") && may_have_ended_endpoint()) {
+            owner_.on_endpoint_ended({make_suspected_end()});
         }
-        if (!is_in("finished")) { // It may have been quarantined.
-            end_attempt(is_in("connecting") ? attempt_end::not_sent : attempt_end::broken);
+        if (!is_in_state("finished")) { // It may have been quarantined.
+            end_attempt(is_in_state("connecting") ? attempt_end::not_sent : attempt_end::broken);
         }
     }
 }
@@ -584,10 +584,10 @@
 }
 
 void exchange::finish(const char* outcome, int status) {
-    if (is_in("finished")) {
+    if (is_in_state("finished")) {
         return;
     }
-    move("ended");
+    apply_event("ended");
     const duration took = monotonic_now() - arrived_at_;
     state_.measured.count(std::string("requests_") + outcome);
     state_.measured.time("request_ms", took);
--- a/src/relay/exchange.h
+++ b/src/relay/exchange.h
@@ -38,16 +38,16 @@
 private:
     struct attempt {
         placement chosen;
-        endpoint_wish wish;
+        endpoint_wish criteria;
         std::string model;
         std::size_t model_rank = 0;
         time_point sent_at;
         time_point heard_at;
-        std::int64_t events_before = 0; ///< that the caller had when it was sent
+        std::int64_t events_before_attempt = 0; ///< that the caller had when it was sent
         bool has_first_byte = false;
         bool has_head = false;       ///< of the answer, and what it says of the endpoint is noted
         bool is_trial = false;       ///< of a quarantined request
-        bool is_judged_slow = false; ///< counted against the release already
+        bool is_counted_slow = false; ///< counted against the release already
         bool is_accepted = false;    ///< the answer is good enough to be passed on
     };
 
@@ -56,8 +56,8 @@
 
     void await_configuration(time_point now);
     void begin();
-    void move(const char* event);
-    bool is_in(const char* phase) const { return phase_ == phase; }
+    void apply_event(const char* event);
+    bool is_in_state(const char* state) const { return exchange_state_ == state; }
     bool admit();
     bool admit_team();
     void pick_service();
@@ -66,36 +66,36 @@
         std::vector<model_option> options;
         std::vector<placement> placements;
     };
-    endpoint_wish make_wish() const;
-    static constexpr std::size_t most_sizes = std::numeric_limits<std::size_t>::max();
-    /** \return where models of the route could answer, from \p least_size on, at most \p most of them. */
-    model_placements placements_from(std::size_t least_size, std::size_t most, const endpoint_wish& wish,
+    endpoint_wish make_placement_criteria() const;
+    static constexpr std::size_t no_size_limit = std::numeric_limits<std::size_t>::max();
+    /** \return where models of the route could answer, from \p min_size on, at most \p max_count of them. */
+    model_placements placements_from(std::size_t min_size, std::size_t max_count, const endpoint_wish& criteria,
                                      time_point now);
     bool choose(time_point now);
     /** \return what is left of the objective for the first event of a larger model. */
-    double step_up_time_ms(time_point now) const;
+    double step_up_budget_ms(time_point now) const;
     bool is_good_enough(const answer_terms& given);
     /** \return when to come back to a service of which no endpoint takes work. */
-    duration time_to_room(time_point now) const;
-    void note_bars(time_point now);
+    duration time_to_capacity(time_point now) const;
+    void report_barred_endpoints(time_point now);
     void open_connection();
     void send_request();
-    void place_again();
+    void cancel_and_redispatch();
     void read_answer(std::string_view bytes);
     void start_reader();
     /** \return what the answer's head says, read once; only once the head is there. */
     const answer_terms& answer();
     bool is_event_stream() const;
     bool is_stray_answer();
-    void note_first_byte();
-    void note_event_passed_on();
-    void note_load_change();
-    void note_statements();
+    void record_first_byte();
+    void record_forwarded_event();
+    void notify_load_changed();
+    void record_endpoint_statement();
     /** \return whether the attempt goes on. */
-    bool pass_on_events();
+    bool forward_events();
     void on_answer_complete();
     void complete_stream();
-    void deliver_whole(const char* outcome);
+    void send_complete_answer(const char* outcome);
     void begin_stream_answer();
     void end_attempt(attempt_end end);
     void settle_attempt(call_result result, release_evidence evidence);
@@ -110,22 +110,22 @@
     request_digest digest();
     std::string team_name() const { return team_ == nullptr ? std::string{} : team_->name; }
     /** \return the events that the present attempt has passed on. */
-    std::int64_t events_of_attempt() const { return events_.last_id() - attempt_.events_before; }
+    std::int64_t events_of_attempt() const { return events_.last_id() - attempt_.events_before_attempt; }
     std::string answer_head(int status, const header_list& headers, bool is_chunked,
                             std::size_t length) const;
-    bool keeps_caller() const;
+    bool keeps_caller_connection() const;
     duration time_left(time_point now) const { return expires_at_ - now; }
     duration silence_limit() const;
     bool has_stalled(time_point now) const;
-    duration longest_wait() const;
-    bool starts_too_late_to_stop() const;
+    duration max_queue_time() const;
+    bool would_outlast_stop() const;
     bool is_quarantined(time_point now);
     void answer_quarantined();
     /// A stream that has passed something on is not what ends its endpoint by beginning.
     bool may_have_ended_endpoint() const { return events_of_attempt() == 0; }
-    suspected_end end_under_this();
-    void note_answered();
-    attempt_record record() const;
+    suspected_end make_suspected_end();
+    void clear_suspicion();
+    retry_context make_retry_context() const;
     release_use release_key() const;
 
     relay& owner_;
@@ -142,7 +142,7 @@
     time_point expires_at_;
     time_point waiting_since_;
 
-    std::string phase_; ///< a state of charts/relay.scxml
+    std::string exchange_state_; ///< a state of charts/relay.scxml
     attempt attempt_;
     std::shared_ptr<endpoint_connection> connection_;
     std::optional<answer_reader> reader_;
@@ -150,7 +150,7 @@
     std::string body_;
     event_joiner events_{0};
     std::set<std::string> tried_;
-    std::size_t least_size_ = 0; ///< of the model; raised when a smaller one's answer was not good enough
+    std::size_t min_model_size_ = 0; ///< of the model; raised when a smaller one's answer was not good enough
     duration config_age_{};      ///< at arrival
     std::optional<request_digest> digest_;
     int confidence_ = -1;      ///< of the answer; -1: none said
@@ -158,12 +158,12 @@
     int longest_gap_ms_ = -1;  ///< between two events passed on; -1: fewer than two were
     time_point last_event_at_; ///< when the last one was passed on
     int attempts_ = 0;
-    int detours_ = 0;        ///< attempts at endpoints that had gone
-    bool has_begun_ = false; ///< it has been decided whether the request may run
+    int unreachable_endpoints_ = 0;        ///< attempts at endpoints that had gone
+    bool has_started_ = false; ///< it has been decided whether the request may run
     bool may_have_run_ = false;
     bool has_begun_answer_ = false;
     bool is_caller_gone_ = false;
-    bool has_surplus_ = false; ///< the connection carried bytes that belong to no answer of ours
+    bool has_excess_bytes_ = false; ///< the connection carried bytes that belong to no answer of ours
 };
 
 } // namespace laurelhoist
--- a/src/relay/exchange_answers.cpp
+++ b/src/relay/exchange_answers.cpp
@@ -6,12 +6,12 @@
 namespace {
 
 /// A caller that reads this slowly would fill the memory.
-constexpr std::size_t most_unsent_bytes = 4 << 20;
+constexpr std::size_t max_unsent_bytes = 4 << 20;
 /// Prompts that hold an engine for a twentieth of a second or more, and so matter to other hosts' choices.
 constexpr std::int64_t long_prompt_tokens = 1500;
 constexpr int status_class = 100;
 /// Of the time to the first event: two crossings of the network and the engine's first step (5 ms).
-constexpr double fixed_ms = 8;
+constexpr double fixed_latency_ms = 8;
 
 } // namespace
 
@@ -29,8 +29,8 @@
         return true;
     }
     const time_point now = monotonic_now();
-    const model_placements larger = placements_from(attempt_.model_rank + 1, most_sizes, make_wish(), now);
-    return !largest_in_time(larger.options, route_->priority, step_up_time_ms(now)) ||
+    const model_placements larger = placements_from(attempt_.model_rank + 1, no_size_limit, make_placement_criteria(), now);
+    return !largest_model_in_time(larger.options, route_->priority, step_up_budget_ms(now)) ||
            !state_.cascade_budget(service_).try_take();
 }
 
@@ -39,7 +39,7 @@
     answer_.reset();
     body_.clear();
     events_.begin_run();
-    has_surplus_ = false;
+    has_excess_bytes_ = false;
 }
 
 void exchange::on_received(std::string_view bytes) {
@@ -69,7 +69,7 @@
 }
 
 void exchange::read_answer(std::string_view bytes) {
-    while (!bytes.empty() && !is_in("finished")) {
+    while (!bytes.empty() && !is_in_state("finished")) {
         const std::optional<std::size_t> used = reader_->feed(bytes, body_);
         if (!used) {
             end_attempt(attempt_end::broken);
@@ -80,7 +80,7 @@
             return;
         }
         if (is_stray_answer()) {
-            has_surplus_ = true;
+            has_excess_bytes_ = true;
             if (!reader_->is_complete()) {
                 body_.clear();
                 return;
@@ -91,9 +91,9 @@
             body_.clear();
             continue;
         }
-        has_surplus_ = has_surplus_ || !bytes.empty();
-        note_statements();
-        if (is_event_stream() && !pass_on_events()) {
+        has_excess_bytes_ = has_excess_bytes_ || !bytes.empty();
+        record_endpoint_statement();
+        if (is_event_stream() && !forward_events()) {
             return;
         }
         if (reader_->is_complete()) {
@@ -103,22 +103,22 @@
     }
 }
 
-void exchange::note_load_change() {
+void exchange::notify_load_changed() {
     if (attempt_.chosen.unread_tokens >= long_prompt_tokens && state_.on_load_changed) {
         state_.on_load_changed();
     }
 }
 
 // From the head on: a stream's answer goes on for seconds after it.
-void exchange::note_statements() {
+void exchange::record_endpoint_statement() {
     if (attempt_.has_head || answer().is_misdirected) {
         return; // A misdirected answer is another endpoint's.
     }
     attempt_.has_head = true;
-    owner_.note_statement(attempt_.chosen.endpoint, answer().says, attempt_.sent_at, terms_.id);
+    owner_.record_statement(attempt_.chosen.endpoint, answer().says, attempt_.sent_at, terms_.id);
 }
 
-void exchange::note_first_byte() {
+void exchange::record_first_byte() {
     if (attempt_.has_first_byte) {
         return;
     }
@@ -129,25 +129,25 @@
     // backlogs long, and judged by these nothing that it did would be slow (1.9 s in place of 0.1 s were
     // not).
     const double expected_ms = prompt_.is_empty() ? 0 : attempt_.chosen.reading_ms;
-    attempt_.is_judged_slow = state_.releases.on_begun(release_key(), {took, expected_ms});
+    attempt_.is_counted_slow = state_.releases.on_begun(release_key(), {took, expected_ms});
     state_.endpoints.on_first_byte(attempt_.chosen);
-    note_load_change();
+    notify_load_changed();
     if (!attempt_.model.empty()) {
         const auto unread = static_cast<double>(attempt_.chosen.unread_tokens);
         state_.first_events.observe(attempt_.model, attempt_.model_rank,
-                                    {unread, attempt_.chosen.backlog_ms, to_ms(took) - fixed_ms});
+                                    {unread, attempt_.chosen.backlog_ms, to_ms(took) - fixed_latency_ms});
         state_.measured.time("first_event_ms", took);
     }
 }
 
-bool exchange::pass_on_events() {
+bool exchange::forward_events() {
     if (!answer().has_receipt) {
         end_attempt(attempt_end::broken);
         return false;
     }
     confidence_ = answer().confidence.value_or(-1);
     if (!attempt_.is_accepted && !is_good_enough(answer())) {
-        least_size_ = attempt_.model_rank + 1;
+        min_model_size_ = attempt_.model_rank + 1;
         end_attempt(attempt_end::declined);
         return false;
     }
@@ -162,20 +162,20 @@
     if (out.empty()) {
         return true;
     }
-    note_first_byte();
+    record_first_byte();
     begin_stream_answer();
-    note_event_passed_on();
+    record_forwarded_event();
     std::string chunk;
     append_chunk(chunk, out);
     caller_->write(chunk);
-    if (caller_->unsent_bytes() > most_unsent_bytes) {
+    if (caller_->unsent_bytes() > max_unsent_bytes) {
         end_attempt(attempt_end::silent);
         return false;
     }
     return true;
 }
 
-void exchange::note_event_passed_on() {
+void exchange::record_forwarded_event() {
     const time_point now = monotonic_now();
     if (first_event_ms_ < 0) {
         first_event_ms_ = static_cast<int>(to_ms(now - arrived_at_));
@@ -190,7 +190,7 @@
         return;
     }
     has_begun_answer_ = true;
-    move("begun");
+    apply_event("begun");
     state_.measured.time("time_to_first_event_ms", monotonic_now() - arrived_at_);
     caller_->write(answer_head(reader_->status(), reader_->headers(), true, 0));
 }
@@ -204,9 +204,9 @@
     end.append(last_chunk);
     caller_->write(end);
     settle_attempt(call_result::answered, release_evidence::good);
-    note_answered();
+    clear_suspicion();
     release_connection(true);
-    const bool keeps = keeps_caller();
+    const bool keeps = keeps_caller_connection();
     finish("served", reader_->status());
     caller_->finish(keeps);
 }
@@ -216,7 +216,7 @@
     if (answer().is_misdirected) {
         // The one that was meant has gone, so this was no attempt at it; but a row of such must end as well.
         --attempts_;
-        ++detours_;
+        ++unreachable_endpoints_;
         end_attempt(attempt_end::misdirected);
     } else if (answer().is_not_run) {
         end_attempt(attempt_end::refused);
@@ -228,9 +228,9 @@
         end_attempt(attempt_end::broken);
     } else {
         settle_attempt(call_result::answered, release_evidence::good);
-        note_answered();
+        clear_suspicion();
         release_connection(true);
-        deliver_whole("served");
+        send_complete_answer("served");
     }
 }
 
@@ -243,7 +243,7 @@
         return;
     }
     if (may_have_ended_endpoint()) {
-        owner_.end_confirmation_.ask(attempt_.chosen.endpoint.address, end_under_this(), monotonic_now());
+        owner_.end_confirmation_.probe_endpoint(attempt_.chosen.endpoint.address, make_suspected_end(), monotonic_now());
     }
     end_attempt(attempt_end::broken);
 }
@@ -261,18 +261,18 @@
     } else {
         append_header(head, "Content-Length", std::to_string(length));
     }
-    if (!keeps_caller()) {
+    if (!keeps_caller_connection()) {
         append_header(head, "Connection", "close");
     }
     return head + "\r\n";
 }
 
-bool exchange::keeps_caller() const {
+bool exchange::keeps_caller_connection() const {
     return request_.keeps_alive && !state_.is_stopping;
 }
 
-void exchange::deliver_whole(const char* outcome) {
-    const bool keeps = keeps_caller();
+void exchange::send_complete_answer(const char* outcome) {
+    const bool keeps = keeps_caller_connection();
     if (!is_caller_gone_) {
         caller_->write(answer_head(reader_->status(), reader_->headers(), false, body_.size()));
         if (request_.method != "HEAD") {
@@ -291,9 +291,9 @@
     }
     const std::string body = json{{"error", reason}, {"remedy", remedy}, {"request_id", terms_.id}}.dump();
     caller_->write(
-        answer_head(status, state_.dialect.own_answer_headers(terms_.id, retry_after), false, body.size()));
+        answer_head(status, state_.dialect.relay_answer_headers(terms_.id, retry_after), false, body.size()));
     caller_->write(body);
-    const bool keeps = keeps_caller();
+    const bool keeps = keeps_caller_connection();
     finish(reason, status);
     caller_->finish(keeps);
 }
--- a/src/relay/exchange_quarantine.cpp
+++ b/src/relay/exchange_quarantine.cpp
@@ -26,31 +26,31 @@
 }
 
 void exchange::on_quarantine_changed() {
-    const bool is_unsent = is_in("waiting") || is_in("connecting");
-    const bool may_stop = is_unsent || (is_in("asked") && route_->may_repeat() && !attempt_.is_trial);
-    if (!has_begun_ || !may_stop || state_.quarantine.ends_of(digest()) < ends_to_quarantine) {
+    const bool is_unsent = is_in_state("waiting") || is_in_state("connecting");
+    const bool may_stop = is_unsent || (is_in_state("asked") && route_->may_repeat() && !attempt_.is_trial);
+    if (!has_started_ || !may_stop || state_.quarantine.ends_of(digest()) < ends_to_quarantine) {
         return;
     }
     auto self = shared_from_this();
     if (connection_) {
         // It waits at an endpoint, which drops it when the connection closes.
-        may_have_run_ = may_have_run_ || is_in("asked");
+        may_have_run_ = may_have_run_ || is_in_state("asked");
         settle_attempt(call_result::cancelled, release_evidence::none);
         release_connection(false);
     }
     answer_quarantined();
 }
 
-suspected_end exchange::end_under_this() {
+suspected_end exchange::make_suspected_end() {
     const endpoint_record& endpoint = attempt_.chosen.endpoint;
     const std::uint32_t process = process_code(endpoint.name, endpoint.started_at_ms);
     const endpoint_end end{process, attempt_.sent_at, monotonic_now()};
     return {digest(), end, endpoint.name, terms_.id, team_name()};
 }
 
-void exchange::note_answered() {
+void exchange::clear_suspicion() {
     if (!state_.quarantine.is_empty()) {
-        owner_.note_answered(digest());
+        owner_.clear_suspicion(digest());
     }
 }
 
--- a/src/relay/http_codec.cpp
+++ b/src/relay/http_codec.cpp
@@ -17,7 +17,7 @@
                                                  "Transfer-Encoding",   "Upgrade",    "Proxy-Connection"};
 
 /// Of an endpoint's answer head; far above any real one, so that a broken endpoint cannot fill the memory.
-constexpr std::uint32_t most_answer_header_bytes = 64 << 10;
+constexpr std::uint32_t max_answer_header_bytes = 64 << 10;
 
 template <class Fields>
 header_list to_header_list(const Fields& message) {
@@ -32,7 +32,7 @@
     return letter >= 'A' && letter <= 'Z' ? static_cast<char>(letter - 'A' + 'a') : letter;
 }
 
-bool lists_token(std::string_view list, std::string_view token) {
+bool contains_token(std::string_view list, std::string_view token) {
     while (!list.empty()) {
         const std::size_t comma = list.find(',');
         std::string_view item = list.substr(0, comma);
@@ -95,7 +95,7 @@
     const bool is_known = std::any_of(std::begin(hop_by_hop_names), std::end(hop_by_hop_names),
                                       [&](std::string_view known) { return is_same_name(name, known); });
     const std::string* connection = headers.find("Connection");
-    return is_known || (connection != nullptr && lists_token(*connection, name));
+    return is_known || (connection != nullptr && contains_token(*connection, name));
 }
 
 void append_header(std::string& head, std::string_view name, std::string_view value) {
@@ -183,13 +183,13 @@
     return request;
 }
 
-bool request_reader::is_midway() const {
+bool request_reader::has_partial_request() const {
     return !pending_.empty() || state_->parser.got_some();
 }
 
 struct answer_reader::state {
     explicit state(bool is_for_head) {
-        parser.header_limit(most_answer_header_bytes);
+        parser.header_limit(max_answer_header_bytes);
         parser.body_limit(boost::none);
         parser.eager(true);
         parser.skip(is_for_head);
--- a/src/relay/http_codec.h
+++ b/src/relay/http_codec.h
@@ -78,7 +78,7 @@
     /** \return the request that \ref advance has completed; the reader is then ready for the next. */
     caller_request take();
     /** \return whether a request has begun to arrive and is not yet complete. */
-    bool is_midway() const;
+    bool has_partial_request() const;
 
 private:
     struct state;
--- a/src/relay/model_choice.cpp
+++ b/src/relay/model_choice.cpp
@@ -13,10 +13,10 @@
 
 } // namespace
 
-std::optional<std::size_t> largest_in_time(const std::vector<model_option>& options, int priority,
-                                           double left_ms) {
+std::optional<std::size_t> largest_model_in_time(const std::vector<model_option>& options, int priority,
+                                           double remaining_ms) {
     const int last = static_cast<int>(std::size(usable_shares)) - 1;
-    const double usable_ms = left_ms * usable_shares[std::clamp(priority, 0, last)];
+    const double usable_ms = remaining_ms * usable_shares[std::clamp(priority, 0, last)];
     for (std::size_t i = options.size(); i-- > 0;) {
         if (options[i].predicted_ms <= usable_ms) {
             return i;
--- a/src/relay/model_choice.h
+++ b/src/relay/model_choice.h
@@ -36,10 +36,10 @@
 
 /** \param options one for each size that has an endpoint, smallest first; not empty
  * \param priority of the route, 0 is the most urgent
- * \param left_ms of the objective to the first token
+ * \param remaining_ms of the objective to the first token
  * \return the index in \p options of the largest model that is predicted to keep to the objective, or
  * nothing if none does */
-std::optional<std::size_t> largest_in_time(const std::vector<model_option>& options, int priority,
-                                           double left_ms);
+std::optional<std::size_t> largest_model_in_time(const std::vector<model_option>& options, int priority,
+                                           double remaining_ms);
 
 } // namespace laurelhoist
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -16,7 +16,7 @@
 constexpr duration tick_interval = milliseconds(50);
 constexpr std::uint64_t ticks_between_sweeps = 5; ///< of callers' and idle connections
 /// Slots of a plain service's endpoint; the limit then follows what it answers.
-constexpr int plain_slots = 6;
+constexpr int default_slots = 6;
 constexpr double logged_no_limit = -1;
 
 } // namespace
@@ -25,11 +25,11 @@
              chart request_life, const relay_settings& settings)
     : state_{loop, dialect, releases, std::move(endpoint_life), std::move(request_life), settings},
       end_confirmation_{state_.pool,
-                        [this](const std::vector<suspected_end>& suspects) { on_ended_under(suspects); }} {
+                        [this](const std::vector<suspected_end>& suspects) { on_endpoint_ended(suspects); }} {
     caller_events_.on_request = [this](const auto& caller, caller_request&& request) {
         on_request(caller, std::move(request));
     };
-    caller_events_.on_refused = [this](int status) {
+    caller_events_.on_rejected = [this](int status) {
         state_.measured.count("malformed_requests");
         log_info("request_unreadable", {{"status", status}});
     };
@@ -70,9 +70,9 @@
 }
 
 void relay::on_request(const std::shared_ptr<caller_connection>& caller, caller_request request) {
-    auto made = std::make_shared<exchange>(*this, caller, std::move(request));
-    active_.insert(made);
-    made->start();
+    auto created = std::make_shared<exchange>(*this, caller, std::move(request));
+    active_.insert(created);
+    created->start();
 }
 
 // Over a copy: what is done to one exchange may end it, or another.
@@ -92,7 +92,7 @@
     if (++ticks_ % ticks_between_sweeps == 0) {
         const std::vector<std::shared_ptr<caller_connection>> callers(callers_.begin(), callers_.end());
         for (const auto& caller : callers) {
-            caller->check_time(now);
+            caller->check_timeouts(now);
         }
         state_.pool.expire(now);
         state_.quarantine.forget_old(now);
@@ -108,7 +108,7 @@
 
 void relay::set_slots(std::size_t hosts) {
     for (const traffic_service& service : state_.routing->config().services) {
-        state_.endpoints.set_slots(service.name, service.engine ? service.engine->slots : plain_slots, hosts);
+        state_.endpoints.set_slots(service.name, service.engine ? service.engine->slots : default_slots, hosts);
     }
 }
 
@@ -120,15 +120,15 @@
     state_.endpoints.allowance().cold().set_services(std::move(services));
 }
 
-void relay::note_refused(const std::string& endpoint) {
+void relay::report_connection_refused(const std::string& endpoint) {
     const bool is_news =
         state_.endpoints.allowance().cold().on_refused(endpoint, duration::zero(), monotonic_now());
-    if (is_news && state_.on_refused) {
-        state_.on_refused(endpoint);
+    if (is_news && state_.on_connection_refused) {
+        state_.on_connection_refused(endpoint);
     }
 }
 
-void relay::note_statement(const endpoint_record& endpoint, const endpoint_statement& said,
+void relay::record_statement(const endpoint_record& endpoint, const endpoint_statement& said,
                            time_point sent_at, const std::string& request) {
     const time_point now = monotonic_now();
     const statement_news news = state_.endpoints.allowance().note(endpoint, said, sent_at, now);
@@ -149,13 +149,13 @@
                                          {"requests_per_s", said.rate_limit.value_or(logged_no_limit)},
                                          {"request", request},
                                          {"asked_ms_ago", to_ms(now - sent_at)}});
-        if (state_.on_limit_news) {
-            state_.on_limit_news();
+        if (state_.on_limits_changed) {
+            state_.on_limits_changed();
         }
     }
 }
 
-void relay::take_limit_notices(const std::vector<limit_notice>& notices) {
+void relay::merge_limit_notices(const std::vector<limit_notice>& notices) {
     rate_limits& limits = state_.endpoints.allowance().limits();
     for (const std::string& endpoint : limits.merge(notices, monotonic_now())) {
         log_info("endpoint_rate_limit_heard",
@@ -164,7 +164,7 @@
     }
 }
 
-void relay::on_ended_under(const std::vector<suspected_end>& suspects) {
+void relay::on_endpoint_ended(const std::vector<suspected_end>& suspects) {
     const time_point now = monotonic_now();
     for (const suspected_end& each : suspects) {
         state_.quarantine.on_end(each.digest, each.end, now);
@@ -178,7 +178,7 @@
     on_quarantine_changed();
 }
 
-void relay::take_crash_notices(const std::vector<crash_notice>& notices) {
+void relay::merge_crash_notices(const std::vector<crash_notice>& notices) {
     if (notices.empty()) {
         return;
     }
@@ -186,7 +186,7 @@
     on_quarantine_changed();
 }
 
-void relay::note_answered(request_digest digest) {
+void relay::clear_suspicion(request_digest digest) {
     if (state_.quarantine.ends_of(digest) > 0) {
         lift_quarantine(digest);
     }
@@ -198,8 +198,8 @@
 }
 
 void relay::on_quarantine_changed() {
-    if (state_.on_crash_news) {
-        state_.on_crash_news();
+    if (state_.on_crash_notices_changed) {
+        state_.on_crash_notices_changed();
     }
     for_each_active([](exchange& each) { each.on_quarantine_changed(); });
 }
--- a/src/relay/relay.h
+++ b/src/relay/relay.h
@@ -77,11 +77,11 @@
     routing_snapshot routing;              ///< null until a configuration has been read
     std::function<void()> on_load_changed; ///< this host's load has changed by a long prompt
     /// Nothing listens at an endpoint, which is news to this host.
-    std::function<void(const std::string& endpoint)> on_refused;
+    std::function<void(const std::string& endpoint)> on_connection_refused;
     /// A limit of an endpoint has changed, which is news to this host.
-    std::function<void()> on_limit_news;
+    std::function<void()> on_limits_changed;
     /// \ref quarantine has something to tell other hosts.
-    std::function<void()> on_crash_news;
+    std::function<void()> on_crash_notices_changed;
     bool is_stopping = false;
     time_point stopping_since;
 
@@ -103,9 +103,9 @@
     void set_routing(routing_snapshot routing, std::size_t hosts);
     void set_endpoints(const std::vector<endpoint_record>& endpoints);
     /** Takes what another host knows of requests under which endpoints end. */
-    void take_crash_notices(const std::vector<crash_notice>& notices);
+    void merge_crash_notices(const std::vector<crash_notice>& notices);
     /** Takes what another host knows of the limits of endpoints. */
-    void take_limit_notices(const std::vector<limit_notice>& notices);
+    void merge_limit_notices(const std::vector<limit_notice>& notices);
     /** An operator trusts a request again. */
     void lift_quarantine(request_digest digest);
     relay_state& state() { return state_; }
@@ -127,12 +127,12 @@
     void on_tick();
     void set_slots(std::size_t hosts);
     void set_cold_services();
-    void note_refused(const std::string& endpoint);
+    void report_connection_refused(const std::string& endpoint);
     /** Takes what \p endpoint says of itself in its answer to \p request. */
-    void note_statement(const endpoint_record& endpoint, const endpoint_statement& said, time_point sent_at,
+    void record_statement(const endpoint_record& endpoint, const endpoint_statement& said, time_point sent_at,
                         const std::string& request);
-    void on_ended_under(const std::vector<suspected_end>& suspects);
-    void note_answered(request_digest digest);
+    void on_endpoint_ended(const std::vector<suspected_end>& suspects);
+    void clear_suspicion(request_digest digest);
     void on_quarantine_changed();
     void on_restarted(const endpoint_record& endpoint);
 
--- a/src/relay/wire_dialect.h
+++ b/src/relay/wire_dialect.h
@@ -61,7 +61,7 @@
     virtual std::string write_request(const caller_request& request, const dispatch_terms& terms) const = 0;
     virtual answer_terms read_answer(int status, const header_list& headers) const = 0;
     /** \return the header fields of an answer of our own to the request \p id. */
-    virtual header_list own_answer_headers(const std::string& id, duration retry_after) const = 0;
+    virtual header_list relay_answer_headers(const std::string& id, duration retry_after) const = 0;
 };
 
 } // namespace laurelhoist
--- a/test/endpoint_signals_test.cpp
+++ b/test/endpoint_signals_test.cpp
@@ -16,10 +16,10 @@
         return at == std::string::npos ? 0 : std::stod(answer.substr(at + field.size()));
     }
     /** Asks once in each \p pause. \return how many were not served */
-    int ask_often(int times, duration pause) {
+    int send_requests(int times, duration pause) {
         int unserved = 0;
         for (int i = 0; i < times; ++i) {
-            unserved += has(ask("7"), "served") ? 0 : 1;
+            unserved += contains(send_request("7"), "served") ? 0 : 1;
             std::this_thread::sleep_for(pause);
         }
         return unserved;
@@ -31,21 +31,21 @@
     constexpr std::size_t most_in_4_s = 17; // 1.5 times what 2 a second allow, and 5.
     scripted_endpoint limited(answers(200, "Limit: 2\r\n"));
     scripted_endpoint free(answers(200));
-    begin(route(route_kind::idempotent, 2), {limited.address(), free.address()});
-    ask_often(10, milliseconds(10));
+    start_relay(route(route_kind::idempotent, 2), {limited.address(), free.address()});
+    send_requests(10, milliseconds(10));
     const std::size_t before = limited.requests().size();
-    EXPECT_EQ(ask_often(100, milliseconds(35)), 0) << "the other endpoint takes the rest";
+    EXPECT_EQ(send_requests(100, milliseconds(35)), 0) << "the other endpoint takes the rest";
     EXPECT_LE(limited.requests().size() - before, most_in_4_s);
 }
 
 // Guards against callers who are kept waiting where every endpoint is limited and this host sends nothing.
 TEST_F(endpoint_signals, where_all_are_limited_callers_are_told_at_once) {
     scripted_endpoint limited(answers(20, "Limit: 0.5\r\n"));
-    begin(route(route_kind::non_idempotent, 1), {limited.address()});
-    EXPECT_TRUE(has(ask("7"), "served"));
+    start_relay(route(route_kind::non_idempotent, 1), {limited.address()});
+    EXPECT_TRUE(contains(send_request("7"), "served"));
     const time_point asked_at = monotonic_now();
-    const std::string answer = ask("7");
-    EXPECT_TRUE(has(answer, "HTTP/1.1 503")) << answer;
+    const std::string answer = send_request("7");
+    EXPECT_TRUE(contains(answer, "HTTP/1.1 503")) << answer;
     EXPECT_GE(retry_after_ms(answer), 2000) << "one request every two seconds";
     EXPECT_LE(retry_after_ms(answer), 2500);
     EXPECT_LT(monotonic_now() - asked_at, milliseconds(300));
@@ -58,18 +58,18 @@
     const std::vector<scripted_answer> rest = answers(50);
     script.insert(script.end(), rest.begin(), rest.end());
     scripted_endpoint endpoint(script);
-    begin(route(route_kind::idempotent, 1), {endpoint.address()});
-    EXPECT_TRUE(has(ask("7"), "served"));
-    on_its_thread([&] {
+    start_relay(route(route_kind::idempotent, 1), {endpoint.address()});
+    EXPECT_TRUE(contains(send_request("7"), "served"));
+    run_on_relay_thread([&] {
         host_status self;
         self.name = "h1";
         self.state = "serving";
         relay_->state().endpoints.allowance().limits().set_hosts({{self}, true}, monotonic_now());
     });
-    EXPECT_LE(ask_often(30, milliseconds(30)), 20);
-    on_its_thread(
+    EXPECT_LE(send_requests(30, milliseconds(30)), 20);
+    run_on_relay_thread(
         [&] { EXPECT_EQ(relay_->state().endpoints.allowance().limits().limit_of("e0"), std::nullopt); });
-    EXPECT_EQ(ask_often(5, milliseconds(1)), 0);
+    EXPECT_EQ(send_requests(5, milliseconds(1)), 0);
 }
 
 // Guards against a host that goes on sending to an endpoint which has asked it for rest.
@@ -78,11 +78,11 @@
     const scripted_answer refusal{
         "HTTP/1.1 503 Busy\r\nNot-Run: 1\r\nRetry-After: 4\r\nContent-Length: 0\r\n\r\n", false, false};
     scripted_endpoint resting(std::vector<scripted_answer>(50, refusal));
-    begin(route(route_kind::non_idempotent, 1), {resting.address()});
-    EXPECT_TRUE(has(ask("7"), "HTTP/1.1 503"));
+    start_relay(route(route_kind::non_idempotent, 1), {resting.address()});
+    EXPECT_TRUE(contains(send_request("7"), "HTTP/1.1 503"));
     std::this_thread::sleep_for(std::chrono::milliseconds(500));
     const std::size_t before = resting.requests().size();
-    ask_often(60, milliseconds(50));
+    send_requests(60, milliseconds(50));
     EXPECT_LE(resting.requests().size() - before, most_in_rest);
 }
 
@@ -91,10 +91,10 @@
 TEST_F(endpoint_signals, an_endpoint_that_says_it_leaves_gets_nothing_new) {
     scripted_endpoint leaving(answers(50, "Leaving: 1\r\n"));
     scripted_endpoint staying(answers(50));
-    begin(route(route_kind::idempotent, 2), {leaving.address(), staying.address()});
-    ask_often(20, milliseconds(5));
-    on_its_thread([&] { relay_->set_endpoints(records_); });
-    EXPECT_EQ(ask_often(20, milliseconds(5)), 0);
+    start_relay(route(route_kind::idempotent, 2), {leaving.address(), staying.address()});
+    send_requests(20, milliseconds(5));
+    run_on_relay_thread([&] { relay_->set_endpoints(records_); });
+    EXPECT_EQ(send_requests(20, milliseconds(5)), 0);
     EXPECT_EQ(leaving.requests().size(), 1U);
 }
 
@@ -103,17 +103,17 @@
     const scripted_answer refusal{
         "HTTP/1.1 503 Busy\r\nNot-Run: 1\r\nRetry-After: 1.5\r\nContent-Length: 0\r\n\r\n", false, false};
     scripted_endpoint resting({refusal, {answer_of("7", "served"), false, false}});
-    begin(route(route_kind::non_idempotent, 1), {resting.address()});
+    start_relay(route(route_kind::non_idempotent, 1), {resting.address()});
     const time_point asked_at = monotonic_now();
     for (int i = 0; i < 2; ++i) {
-        const std::string answer = ask("7");
-        EXPECT_TRUE(has(answer, "HTTP/1.1 503")) << answer;
+        const std::string answer = send_request("7");
+        EXPECT_TRUE(contains(answer, "HTTP/1.1 503")) << answer;
         EXPECT_GE(retry_after_ms(answer), 1300);
         EXPECT_LE(retry_after_ms(answer), 1500 * 1.25);
     }
     EXPECT_LT(monotonic_now() - asked_at, milliseconds(300));
     std::this_thread::sleep_for(std::chrono::milliseconds(1500));
-    EXPECT_TRUE(has(ask("7"), "served")) << "it has not been taken for broken";
+    EXPECT_TRUE(contains(send_request("7"), "served")) << "it has not been taken for broken";
 }
 
 // Guards against requests that others wait on being sent to a resting endpoint once all others are taken.
@@ -122,8 +122,8 @@
         "HTTP/1.1 503 Busy\r\nNot-Run: 1\r\nRetry-After: 3\r\nContent-Length: 0\r\n\r\n", false, false};
     scripted_endpoint resting(std::vector<scripted_answer>(50, refusal));
     scripted_endpoint broken(std::vector<scripted_answer>(50, scripted_answer{"", false, true}));
-    begin(route(route_kind::idempotent, 4), {resting.address(), broken.address()});
-    ask_often(10, milliseconds(20));
+    start_relay(route(route_kind::idempotent, 4), {resting.address(), broken.address()});
+    send_requests(10, milliseconds(20));
     EXPECT_EQ(resting.requests().size(), 1U);
 }
 
--- a/test/relay_decisions_test.cpp
+++ b/test/relay_decisions_test.cpp
@@ -15,9 +15,9 @@
 // On an idle fleet the largest prompts were answered by the small model, wrongly as often as not: the large
 // one needs 1.6 s of an objective of 2 s, and only 1.2 s of it were counted as usable.
 TEST(model_choice, a_long_prompt_gets_the_large_model_when_it_is_in_time) {
-    EXPECT_EQ(largest_in_time(long_prompt, urgent, objective_ms), 2U);
-    EXPECT_EQ(largest_in_time(long_prompt, urgent, 900), 1U);
-    EXPECT_EQ(largest_in_time(long_prompt, urgent, 100), std::nullopt);
+    EXPECT_EQ(largest_model_in_time(long_prompt, urgent, objective_ms), 2U);
+    EXPECT_EQ(largest_model_in_time(long_prompt, urgent, 900), 1U);
+    EXPECT_EQ(largest_model_in_time(long_prompt, urgent, 100), std::nullopt);
 }
 
 // Half of the engines are lost. What every route steps up to does not fit any more; short checks, worth a
@@ -25,10 +25,10 @@
 // good.
 TEST(model_choice, the_least_urgent_routes_give_way_first) {
     const std::vector<model_option> busy = {{0, 160}, {1, 400}, {2, 800}};
-    constexpr double left_ms = 1'000;
-    EXPECT_EQ(largest_in_time(busy, urgent, left_ms), 2U);
-    EXPECT_EQ(largest_in_time(busy, least_urgent, left_ms), 1U);
-    EXPECT_EQ(largest_in_time(busy, least_urgent + 5, left_ms), 1U);
+    constexpr double remaining_ms = 1'000;
+    EXPECT_EQ(largest_model_in_time(busy, urgent, remaining_ms), 2U);
+    EXPECT_EQ(largest_model_in_time(busy, least_urgent, remaining_ms), 1U);
+    EXPECT_EQ(largest_model_in_time(busy, least_urgent + 5, remaining_ms), 1U);
 }
 
 } // namespace
--- a/test/relay_fixture.h
+++ b/test/relay_fixture.h
@@ -59,7 +59,7 @@
         }
         return terms;
     }
-    header_list own_answer_headers(const std::string&, duration retry_after) const override {
+    header_list relay_answer_headers(const std::string&, duration retry_after) const override {
         header_list headers;
         if (retry_after > duration::zero()) {
             headers.add("Retry-After", std::to_string(to_ms(retry_after)));
@@ -160,25 +160,25 @@
 
 /** An endpoint whose process ends when it begins to run a request with a certain body: its connections break
  * and nothing listens at its address any more. It answers all other requests. */
-class mortal_endpoint {
+class crashing_endpoint {
 public:
-    explicit mortal_endpoint(std::string deadly_body)
+    explicit crashing_endpoint(std::string crashing_body)
         : acceptor_{context_, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0)},
           address_{"127.0.0.1:" + std::to_string(acceptor_.local_endpoint().port())},
-          deadly_body_{std::move(deadly_body)} {
+          crashing_body_{std::move(crashing_body)} {
         accept_next();
         thread_ = std::thread([this] { context_.run(); });
     }
-    ~mortal_endpoint() {
+    ~crashing_endpoint() {
         context_.stop();
         thread_.join();
     }
-    mortal_endpoint(const mortal_endpoint&) = delete;
-    mortal_endpoint& operator=(const mortal_endpoint&) = delete;
+    crashing_endpoint(const crashing_endpoint&) = delete;
+    crashing_endpoint& operator=(const crashing_endpoint&) = delete;
 
     const std::string& address() const { return address_; }
     /** Requests with the deadly body that reached it: at most one, which it did not survive. */
-    int ended_by() const { return ended_by_; }
+    int crash_count() const { return crash_count_; }
 
 private:
     struct connection {
@@ -217,7 +217,7 @@
         }
         const std::string body = from.buffer.substr(head_length, body_length);
         from.buffer.erase(0, head_length + body_length);
-        if (body == deadly_body_) {
+        if (body == crashing_body_) {
             end();
             return;
         }
@@ -228,7 +228,7 @@
     }
 
     void end() {
-        ++ended_by_;
+        ++crash_count_;
         boost::system::error_code ignored;
         acceptor_.close(ignored);
         for (const auto& each : connections_) {
@@ -245,9 +245,9 @@
     asio::io_context context_;
     tcp::acceptor acceptor_;
     std::string address_;
-    std::string deadly_body_;
+    std::string crashing_body_;
     std::vector<std::shared_ptr<connection>> connections_;
-    std::atomic<int> ended_by_{0};
+    std::atomic<int> crash_count_{0};
     std::thread thread_;
 };
 
@@ -270,7 +270,7 @@
 /** A relay on a thread of its own, with one caller's view of it. */
 class relay_fixture : public ::testing::Test {
 protected:
-    void begin(const traffic_route& route, const std::vector<std::string>& endpoints,
+    void start_relay(const traffic_route& route, const std::vector<std::string>& endpoints,
                std::vector<traffic_team> teams = {}) {
         relay_settings settings;
         settings.host = "h1";
@@ -315,22 +315,22 @@
     }
 
     traffic_route route(route_kind kind, int max_attempts) const {
-        traffic_route made;
-        made.name = "r";
-        made.host = "x";
-        made.path_prefix = "/a/";
-        made.kind = kind;
-        made.is_resumable = kind == route_kind::stream;
-        made.timeout = seconds(5);
-        made.latency_objective = seconds(2);
-        made.gap_objective = seconds(1);
-        made.max_attempts = max_attempts;
-        made.services = {{"claims", 1}};
-        return made;
+        traffic_route result;
+        result.name = "r";
+        result.host = "x";
+        result.path_prefix = "/a/";
+        result.kind = kind;
+        result.is_resumable = kind == route_kind::stream;
+        result.timeout = seconds(5);
+        result.latency_objective = seconds(2);
+        result.gap_objective = seconds(1);
+        result.max_attempts = max_attempts;
+        result.services = {{"claims", 1}};
+        return result;
     }
 
     /** Sends one request and reads until the relay closes the connection. */
-    std::string ask(const std::string& id, const std::string& more = "", const std::string& body = "") {
+    std::string send_request(const std::string& id, const std::string& more = "", const std::string& body = "") {
         asio::io_context context;
         tcp::socket socket(context);
         socket.connect({asio::ip::make_address("127.0.0.1"), port_});
@@ -346,7 +346,7 @@
     }
 
     /** Sends one request and closes without reading. */
-    void send_and_leave(const std::string& id) const {
+    void send_and_disconnect(const std::string& id) const {
         asio::io_context context;
         tcp::socket socket(context);
         socket.connect({asio::ip::make_address("127.0.0.1"), port_});
@@ -355,7 +355,7 @@
     }
 
     /** Does \p work on the relay's thread, and waits for its end. */
-    void on_its_thread(const std::function<void()>& work) {
+    void run_on_relay_thread(const std::function<void()>& work) {
         std::promise<void> done;
         loop_.post([&] {
             work();
@@ -370,8 +370,8 @@
         return acceptor.local_endpoint().port();
     }
 
-    bool has_cold_starts_ = false; ///< endpoints are cold after they start; set before \ref begin
-    duration configured_after_{};  ///< how long the relay waits for its configuration; set before \ref begin
+    bool has_cold_starts_ = false; ///< endpoints are cold after they start; set before \ref start_relay
+    duration configured_after_{};  ///< how long the relay waits for its configuration; set before \ref start_relay
     event_loop loop_;
     test_dialect dialect_;
     rollout_tracker releases_;
@@ -382,7 +382,7 @@
     bool was_reset_ = false;
 };
 
-inline bool has(const std::string& text, const std::string& part) {
+inline bool contains(const std::string& text, const std::string& part) {
     return text.find(part) != std::string::npos;
 }
 
--- a/test/relay_test.cpp
+++ b/test/relay_test.cpp
@@ -24,14 +24,14 @@
 RC_GTEST_PROP(attempt_rules, what_may_have_run_and_may_not_repeat_is_never_sent_again,
               (bool may_have_run_before, int attempts, int most, bool is_expired, int number)) {
     const attempt_end end = any_end(std::abs(number % 100));
-    attempt_record record;
-    record.may_repeat = false;
-    record.may_have_run = may_have_run_before || !is_proof_of_not_run(end);
-    record.attempts = attempts % 10;
-    record.max_attempts = most % 10;
-    record.is_expired = is_expired;
-    const follow_up_step step = after_attempt(record, end);
-    RC_ASSERT(!record.may_have_run || step != follow_up_step::try_again);
+    retry_context context;
+    context.may_repeat = false;
+    context.may_have_run = may_have_run_before || !is_proof_of_not_run(end);
+    context.attempts = attempts % 10;
+    context.max_attempts = most % 10;
+    context.is_expired = is_expired;
+    const follow_up_step step = next_step_after(context, end);
+    RC_ASSERT(!context.may_have_run || step != follow_up_step::retry);
 }
 
 // A caller is told "not run" and sends its booking again elsewhere, while the first one runs after all.
@@ -39,24 +39,24 @@
               (bool may_repeat, bool may_have_run_before, bool has_begun, int attempts, bool is_expired,
                int number)) {
     const attempt_end end = any_end(std::abs(number % 100));
-    attempt_record record;
-    record.may_repeat = may_repeat;
-    record.may_have_run = may_have_run_before || !is_proof_of_not_run(end);
-    record.has_begun_answer = has_begun;
-    record.attempts = attempts % 10;
-    record.max_attempts = 3;
-    record.is_expired = is_expired;
-    const follow_up_step step = after_attempt(record, end);
-    RC_ASSERT(!record.may_have_run || step != follow_up_step::refuse);
-    RC_ASSERT(!has_begun || step == follow_up_step::cut || step == follow_up_step::try_again);
+    retry_context context;
+    context.may_repeat = may_repeat;
+    context.may_have_run = may_have_run_before || !is_proof_of_not_run(end);
+    context.has_begun_answer = has_begun;
+    context.attempts = attempts % 10;
+    context.max_attempts = 3;
+    context.is_expired = is_expired;
+    const follow_up_step step = next_step_after(context, end);
+    RC_ASSERT(!context.may_have_run || step != follow_up_step::refuse);
+    RC_ASSERT(!has_begun || step == follow_up_step::abort_answer || step == follow_up_step::retry);
 }
 
 TEST(attempt_rules, a_request_that_never_left_goes_elsewhere_even_if_it_may_not_repeat) {
-    attempt_record record;
-    record.max_attempts = 1;
-    EXPECT_EQ(after_attempt(record, attempt_end::not_sent), follow_up_step::try_again);
-    record.attempts = 1;
-    EXPECT_EQ(after_attempt(record, attempt_end::refused), follow_up_step::refuse);
+    retry_context context;
+    context.max_attempts = 1;
+    EXPECT_EQ(next_step_after(context, attempt_end::not_sent), follow_up_step::retry);
+    context.attempts = 1;
+    EXPECT_EQ(next_step_after(context, attempt_end::refused), follow_up_step::refuse);
 }
 
 // During a planned stop a connection that callers keep open still brings requests. One that was taken 0.1 s
@@ -65,13 +65,13 @@
     traffic_route claims;
     claims.kind = route_kind::non_idempotent;
     claims.timeout = seconds(2);
-    EXPECT_TRUE(may_start_while_stopping(claims, seconds(5), milliseconds(7500)));
-    EXPECT_FALSE(may_start_while_stopping(claims, milliseconds(5600), milliseconds(7500)));
+    EXPECT_TRUE(can_finish_before_stop(claims, seconds(5), milliseconds(7500)));
+    EXPECT_FALSE(can_finish_before_stop(claims, milliseconds(5600), milliseconds(7500)));
     traffic_route drafts;
     drafts.kind = route_kind::stream;
     drafts.timeout = seconds(20);
-    EXPECT_TRUE(may_start_while_stopping(drafts, seconds(2), milliseconds(7500)));
-    EXPECT_FALSE(may_start_while_stopping(drafts, seconds(3), milliseconds(7500)));
+    EXPECT_TRUE(can_finish_before_stop(drafts, seconds(2), milliseconds(7500)));
+    EXPECT_FALSE(can_finish_before_stop(drafts, seconds(3), milliseconds(7500)));
 }
 
 TEST(event_joiner, passes_on_whole_events_only) {
@@ -190,35 +190,35 @@
 
 TEST_F(relay_fixture, an_answer_arrives_as_it_was_given) {
     scripted_endpoint endpoint({{answer_of("7", "whole body", "Kept: yes\r\n"), false, false}});
-    begin(route(route_kind::idempotent, 2), {endpoint.address()});
-    const std::string answer = ask("7");
-    EXPECT_TRUE(has(answer, "HTTP/1.1 200"));
-    EXPECT_TRUE(has(answer, "Kept: yes"));
-    EXPECT_TRUE(has(answer, "\r\n\r\nwhole body"));
+    start_relay(route(route_kind::idempotent, 2), {endpoint.address()});
+    const std::string answer = send_request("7");
+    EXPECT_TRUE(contains(answer, "HTTP/1.1 200"));
+    EXPECT_TRUE(contains(answer, "Kept: yes"));
+    EXPECT_TRUE(contains(answer, "\r\n\r\nwhole body"));
 }
 
 // The endpoint runs a claim and its answer is lost. Sent again, the claim would be there twice; called "not
 // run", the caller would send it again itself.
 TEST_F(relay_fixture, a_lost_answer_of_a_non_idempotent_request_is_neither_repeated_nor_denied) {
     scripted_endpoint endpoint({{"", false, true}, {answer_of("7", "second run"), false, false}});
-    begin(route(route_kind::non_idempotent, 3), {endpoint.address()});
-    EXPECT_TRUE(has(ask("7"), "HTTP/1.1 502"));
+    start_relay(route(route_kind::non_idempotent, 3), {endpoint.address()});
+    EXPECT_TRUE(contains(send_request("7"), "HTTP/1.1 502"));
     EXPECT_EQ(endpoint.requests().size(), 1U);
 }
 
 TEST_F(relay_fixture, a_lost_answer_of_an_idempotent_request_is_asked_for_again) {
     scripted_endpoint broken({{"HTTP/1.1 200 OK\r\nId: 7\r\nContent-Length: 50\r\n\r\nhalf", false, true}});
     scripted_endpoint sound({{answer_of("7", "whole"), false, false}});
-    begin(route(route_kind::idempotent, 4), {broken.address(), sound.address()});
-    EXPECT_TRUE(has(ask("7"), "whole"));
+    start_relay(route(route_kind::idempotent, 4), {broken.address(), sound.address()});
+    EXPECT_TRUE(contains(send_request("7"), "whole"));
 }
 
 TEST_F(relay_fixture, a_refusal_by_the_endpoint_says_that_nothing_ran) {
     scripted_endpoint full({{"HTTP/1.1 503 Busy\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n", false, false}});
-    begin(route(route_kind::non_idempotent, 1), {full.address()});
-    const std::string answer = ask("7");
-    EXPECT_TRUE(has(answer, "HTTP/1.1 503"));
-    EXPECT_TRUE(has(answer, "Retry-After: 700"));
+    start_relay(route(route_kind::non_idempotent, 1), {full.address()});
+    const std::string answer = send_request("7");
+    EXPECT_TRUE(contains(answer, "HTTP/1.1 503"));
+    EXPECT_TRUE(contains(answer, "Retry-After: 700"));
 }
 
 // Thirty engines crash and start again as new instances at their old addresses, before the store has dropped
@@ -228,9 +228,9 @@
     scripted_endpoint first({{gone, false, false}, {gone, false, false}});
     scripted_endpoint second(
         {{answer_of("7", "served"), false, false}, {answer_of("8", "served"), false, false}});
-    begin(route(route_kind::non_idempotent, 1), {first.address(), second.address()});
-    EXPECT_TRUE(has(ask("7"), "served"));
-    EXPECT_TRUE(has(ask("8"), "served"));
+    start_relay(route(route_kind::non_idempotent, 1), {first.address(), second.address()});
+    EXPECT_TRUE(contains(send_request("7"), "served"));
+    EXPECT_TRUE(contains(send_request("8"), "served"));
     EXPECT_LE(first.requests().size(), 1U) << "once it is known to be gone it gets nothing";
 }
 
@@ -244,8 +244,8 @@
         addresses.push_back("127.0.0.1:" + std::to_string(free_port()));
     }
     addresses.push_back(live.address());
-    begin(route(route_kind::non_idempotent, 1), addresses);
-    EXPECT_TRUE(has(ask("7"), "served"));
+    start_relay(route(route_kind::non_idempotent, 1), addresses);
+    EXPECT_TRUE(contains(send_request("7"), "served"));
 }
 
 // An engine crashes and will be back cold. Its entry in the store lasts for seconds, so the one that finds
@@ -256,19 +256,19 @@
                             {answer_of("8", "served"), false, false},
                             {answer_of("9", "served"), false, false}});
     has_cold_starts_ = true;
-    begin(route(route_kind::non_idempotent, 1), {"127.0.0.1:" + std::to_string(free_port()), live.address()});
+    start_relay(route(route_kind::non_idempotent, 1), {"127.0.0.1:" + std::to_string(free_port()), live.address()});
     std::atomic<int> told{0};
-    on_its_thread([&] {
-        relay_->state().on_refused = [&](const std::string& endpoint) {
+    run_on_relay_thread([&] {
+        relay_->state().on_connection_refused = [&](const std::string& endpoint) {
             EXPECT_EQ(endpoint, "e0");
             ++told;
         };
     });
     for (const char* id : {"7", "8", "9"}) {
-        EXPECT_TRUE(has(ask(id), "served"));
+        EXPECT_TRUE(contains(send_request(id), "served"));
     }
     EXPECT_LE(told, 1);
-    on_its_thread([&] {
+    run_on_relay_thread([&] {
         EXPECT_EQ(told == 1, relay_->state().endpoints.allowance().cold().is_cold("e0", monotonic_now()));
     });
 }
@@ -277,12 +277,12 @@
 // what cannot come; they are told at once that nothing ran and when to ask again.
 TEST_F(relay_fixture, where_all_is_evacuated_callers_are_told_at_once) {
     scripted_endpoint endpoint({{answer_of("7", "served"), false, false}});
-    begin(route(route_kind::non_idempotent, 1), {endpoint.address()});
-    on_its_thread([&] { relay_->state().endpoints.allowance().set_evacuated({{"d1"}}, monotonic_now()); });
+    start_relay(route(route_kind::non_idempotent, 1), {endpoint.address()});
+    run_on_relay_thread([&] { relay_->state().endpoints.allowance().set_evacuated({{"d1"}}, monotonic_now()); });
     const time_point asked_at = monotonic_now();
-    const std::string answer = ask("7");
-    EXPECT_TRUE(has(answer, "HTTP/1.1 503"));
-    EXPECT_TRUE(has(answer, "Retry-After"));
+    const std::string answer = send_request("7");
+    EXPECT_TRUE(contains(answer, "HTTP/1.1 503"));
+    EXPECT_TRUE(contains(answer, "Retry-After"));
     EXPECT_LT(monotonic_now() - asked_at, milliseconds(300));
     EXPECT_TRUE(endpoint.requests().empty());
 }
@@ -293,10 +293,10 @@
 TEST_F(relay_fixture, nothing_is_sent_for_a_caller_who_has_left_unread) {
     scripted_endpoint endpoint(
         {{answer_of("6", "served"), false, false}, {answer_of("7", "late"), false, false}});
-    begin(route(route_kind::idempotent, 1), {endpoint.address()});
-    EXPECT_TRUE(has(ask("6"), "served")); // Its connection is kept.
+    start_relay(route(route_kind::idempotent, 1), {endpoint.address()});
+    EXPECT_TRUE(contains(send_request("6"), "served")); // Its connection is kept.
     loop_.post([] { std::this_thread::sleep_for(std::chrono::milliseconds(200)); });
-    send_and_leave("7");
+    send_and_disconnect("7");
     std::this_thread::sleep_for(std::chrono::milliseconds(500));
     EXPECT_EQ(endpoint.requests().size(), 1U);
 }
@@ -305,10 +305,10 @@
 // caller would read another's answer.
 TEST_F(relay_fixture, an_answer_to_another_request_is_left_out) {
     scripted_endpoint endpoint({{answer_of("6", "of another") + answer_of("7", "own"), false, false}});
-    begin(route(route_kind::idempotent, 1), {endpoint.address()});
-    const std::string answer = ask("7");
-    EXPECT_TRUE(has(answer, "own"));
-    EXPECT_FALSE(has(answer, "of another"));
+    start_relay(route(route_kind::idempotent, 1), {endpoint.address()});
+    const std::string answer = send_request("7");
+    EXPECT_TRUE(contains(answer, "own"));
+    EXPECT_FALSE(contains(answer, "of another"));
 }
 
 // Advisers lose their drafts in the middle, half of the engines are down for some sixteen seconds. One
@@ -318,39 +318,39 @@
 // "end":"broken" and no event at "i-826cfeb62e", "i-f7cdc43715", "i-786c1fe9c8" and on, and no other request
 // that broke three times unanswered.
 TEST_F(relay_fixture, a_request_that_ends_its_endpoints_is_not_sent_for_ever) {
-    const std::string deadly = "a prompt that no engine survives";
-    std::vector<std::unique_ptr<mortal_endpoint>> endpoints;
+    const std::string crashing_prompt = "a prompt that no engine survives";
+    std::vector<std::unique_ptr<crashing_endpoint>> endpoints;
     std::vector<std::string> addresses;
     for (int i = 0; i < 12; ++i) {
-        endpoints.push_back(std::make_unique<mortal_endpoint>(deadly));
+        endpoints.push_back(std::make_unique<crashing_endpoint>(crashing_prompt));
         addresses.push_back(endpoints.back()->address());
     }
-    begin(route(route_kind::idempotent, 3), addresses);
+    start_relay(route(route_kind::idempotent, 3), addresses);
     const auto ended = [&endpoints] {
         int count = 0;
         for (const auto& endpoint : endpoints) {
-            count += endpoint->ended_by();
+            count += endpoint->crash_count();
         }
         return count;
     };
-    EXPECT_TRUE(has(ask("1", "", "another prompt"), "served"));
+    EXPECT_TRUE(contains(send_request("1", "", "another prompt"), "served"));
     for (int id = 2; id <= 4; ++id) {
-        ask(std::to_string(id), "", deadly);
+        send_request(std::to_string(id), "", crashing_prompt);
         std::this_thread::sleep_for(std::chrono::milliseconds(50));
     }
     EXPECT_EQ(ended(), 3) << "three ends under one request tell enough";
     const time_point asked_at = monotonic_now();
-    const std::string answer = ask("5", "", deadly);
-    EXPECT_TRUE(has(answer, "HTTP/1.1 503")) << answer;
-    EXPECT_FALSE(has(answer, "Retry-After")) << "nothing invites the next try";
+    const std::string answer = send_request("5", "", crashing_prompt);
+    EXPECT_TRUE(contains(answer, "HTTP/1.1 503")) << answer;
+    EXPECT_FALSE(contains(answer, "Retry-After")) << "nothing invites the next try";
     EXPECT_LT(monotonic_now() - asked_at, milliseconds(300));
-    EXPECT_TRUE(has(ask("6", "", "another prompt"), "served")) << "all other requests go on";
+    EXPECT_TRUE(contains(send_request("6", "", "another prompt"), "served")) << "all other requests go on";
 }
 
 TEST_F(relay_fixture, a_success_without_a_receipt_is_no_success) {
     scripted_endpoint endpoint({{"HTTP/1.1 200 OK\r\nId: 7\r\nContent-Length: 2\r\n\r\nok", false, false}});
-    begin(route(route_kind::non_idempotent, 1), {endpoint.address()});
-    EXPECT_TRUE(has(ask("7"), "HTTP/1.1 502"));
+    start_relay(route(route_kind::non_idempotent, 1), {endpoint.address()});
+    EXPECT_TRUE(contains(send_request("7"), "HTTP/1.1 502"));
 }
 
 // An engine breaks off in the middle of event 2; the next goes on after event 1.
@@ -358,11 +358,11 @@
     scripted_endpoint first(
         {{stream_head("7") + chunk_of(event(1)) + chunk_of(event(2).substr(0, 8)), false, true},
          {stream_head("7") + chunk_of(event(2)) + "0\r\n\r\n", false, false}});
-    begin(route(route_kind::stream, 3), {first.address()});
-    const std::string answer = ask("7");
-    EXPECT_TRUE(has(answer, chunk_of(event(1)) + chunk_of(event(2)) + "0\r\n\r\n")) << answer;
+    start_relay(route(route_kind::stream, 3), {first.address()});
+    const std::string answer = send_request("7");
+    EXPECT_TRUE(contains(answer, chunk_of(event(1)) + chunk_of(event(2)) + "0\r\n\r\n")) << answer;
     ASSERT_EQ(first.requests().size(), 2U);
-    EXPECT_TRUE(has(first.requests()[1], "Resume: 1"));
+    EXPECT_TRUE(contains(first.requests()[1], "Resume: 1"));
 }
 
 // An engine crashes behind a cut and starts again under its name: the connection to its earlier process is
@@ -372,15 +372,15 @@
     const scripted_answer begun{stream_head("7") + chunk_of(event(1)), false, false};
     const scripted_answer rest{stream_head("7") + chunk_of(event(2)) + "0\r\n\r\n", false, false};
     scripted_endpoint first({begun, rest});
-    begin(route(route_kind::stream, 3), {first.address()});
+    start_relay(route(route_kind::stream, 3), {first.address()});
     const time_point asked_at = monotonic_now();
     asio::steady_timer restart(loop_.context(), milliseconds(150));
     restart.async_wait([this](const boost::system::error_code&) {
         records_.front().started_at_ms = 9000;
         relay_->set_endpoints(records_);
     });
-    const std::string answer = ask("7");
-    EXPECT_TRUE(has(answer, event(2))) << answer;
+    const std::string answer = send_request("7");
+    EXPECT_TRUE(contains(answer, event(2))) << answer;
     EXPECT_LT(to_ms(monotonic_now() - asked_at), 1500) << "a silent stream would be noticed after 2 s";
 }
 
@@ -389,7 +389,7 @@
 // under way.
 TEST_F(relay_fixture, an_endpoint_that_started_again_under_a_request_counts_against_it) {
     scripted_endpoint endpoint({{"", false, false}, {answer_of("7", "served"), false, false}});
-    begin(route(route_kind::idempotent, 3), {endpoint.address()});
+    start_relay(route(route_kind::idempotent, 3), {endpoint.address()});
     asio::steady_timer restart(loop_.context(), milliseconds(150));
     int ends = 0;
     restart.async_wait([&](const boost::system::error_code&) {
@@ -397,8 +397,8 @@
         relay_->set_endpoints(records_);
         ends = relay_->state().quarantine.ends_of(digest_of({"POST", "/a/1", "", ""}));
     });
-    EXPECT_TRUE(has(ask("7"), "served"));
-    on_its_thread([&] {
+    EXPECT_TRUE(contains(send_request("7"), "served"));
+    run_on_relay_thread([&] {
         EXPECT_EQ(ends, 1);
         EXPECT_EQ(relay_->state().quarantine.ends_of(digest_of({"POST", "/a/1", "", ""})), 0)
             << "answered: cleared";
@@ -409,15 +409,15 @@
 // answers, and a good release was braked.
 TEST_F(relay_fixture, a_crash_says_nothing_of_the_release) {
     scripted_endpoint endpoint({{"", false, true}, {answer_of("8", "served"), false, false}});
-    begin(route(route_kind::non_idempotent, 1), {endpoint.address()});
+    start_relay(route(route_kind::non_idempotent, 1), {endpoint.address()});
     rollout_order order;
     order.service = "claims";
     order.release = "v1";
     order.time_limit = seconds(24);
     std::promise<std::vector<release_counts>> counted;
     loop_.post([&] { releases_.set_orders({order}, monotonic_now()); });
-    ask("7");
-    ask("8");
+    send_request("7");
+    send_request("8");
     loop_.post([&] { counted.set_value(releases_.own_counts()); });
     const std::vector<release_counts> counts = counted.get_future().get();
     ASSERT_EQ(counts.size(), 1U);
@@ -427,8 +427,8 @@
 
 TEST_F(relay_fixture, a_stream_that_cannot_go_on_does_not_look_whole) {
     scripted_endpoint endpoint({{stream_head("7") + chunk_of(event(1)), false, true}});
-    begin(route(route_kind::stream, 1), {endpoint.address()});
-    EXPECT_FALSE(has(ask("7"), "0\r\n\r\n"));
+    start_relay(route(route_kind::stream, 1), {endpoint.address()});
+    EXPECT_FALSE(contains(send_request("7"), "0\r\n\r\n"));
     EXPECT_TRUE(was_reset_);
 }
 
@@ -442,12 +442,12 @@
           false}});
     traffic_route drafts = route(route_kind::stream, 3);
     drafts.models = {"small", "large"};
-    begin(drafts, {endpoint.address()});
-    const std::string answer = ask("7");
-    EXPECT_TRUE(has(answer, chunk_of(event(1) + event(2)) + "0\r\n\r\n")) << answer;
-    EXPECT_TRUE(has(answer, "Confidence: 20"));
+    start_relay(drafts, {endpoint.address()});
+    const std::string answer = send_request("7");
+    EXPECT_TRUE(contains(answer, chunk_of(event(1) + event(2)) + "0\r\n\r\n")) << answer;
+    EXPECT_TRUE(contains(answer, "Confidence: 20"));
     ASSERT_EQ(endpoint.requests().size(), 2U);
-    EXPECT_TRUE(has(endpoint.requests()[1], "Model: large"));
+    EXPECT_TRUE(contains(endpoint.requests()[1], "Model: large"));
 }
 
 TEST_F(relay_fixture, a_confident_small_answer_is_taken) {
@@ -456,24 +456,24 @@
         {{stream_head("7", "Confidence: 90\r\n") + chunk_of(event(1)) + "0\r\n\r\n", false, false}});
     traffic_route drafts = route(route_kind::stream, 3);
     drafts.models = {"small", "large"};
-    begin(drafts, {endpoint.address()});
-    EXPECT_TRUE(has(ask("7"), event(1)));
+    start_relay(drafts, {endpoint.address()});
+    EXPECT_TRUE(contains(send_request("7"), event(1)));
     EXPECT_EQ(endpoint.requests().size(), 1U);
 }
 
 TEST_F(relay_fixture, an_unknown_key_is_refused_and_a_known_one_waits_for_confirmation) {
     scripted_endpoint endpoint({{answer_of("7", "served"), false, false}});
-    begin(route(route_kind::idempotent, 1), {endpoint.address()}, {{"osijek", {"good"}, std::nullopt}});
-    EXPECT_TRUE(has(ask("7"), "HTTP/1.1 401"));
-    EXPECT_TRUE(has(ask("7", "Key: bad\r\n"), "HTTP/1.1 401"));
-    EXPECT_TRUE(has(ask("7", "Key: good\r\n"), "HTTP/1.1 503")) << "nothing has confirmed the configuration";
+    start_relay(route(route_kind::idempotent, 1), {endpoint.address()}, {{"osijek", {"good"}, std::nullopt}});
+    EXPECT_TRUE(contains(send_request("7"), "HTTP/1.1 401"));
+    EXPECT_TRUE(contains(send_request("7", "Key: bad\r\n"), "HTTP/1.1 401"));
+    EXPECT_TRUE(contains(send_request("7", "Key: good\r\n"), "HTTP/1.1 503")) << "nothing has confirmed the configuration";
     loop_.post([this] { relay_->state().fence.confirm(monotonic_now()); });
-    EXPECT_TRUE(has(ask("7", "Key: good\r\n"), "served"));
+    EXPECT_TRUE(contains(send_request("7", "Key: good\r\n"), "served"));
 }
 
 TEST_F(relay_fixture, no_endpoint_is_said_at_once) {
-    begin(route(route_kind::idempotent, 1), {});
-    EXPECT_TRUE(has(ask("7"), "HTTP/1.1 503"));
+    start_relay(route(route_kind::idempotent, 1), {});
+    EXPECT_TRUE(contains(send_request("7"), "HTTP/1.1 503"));
 }
 
 // All hosts are killed and start again; callers have come back before a host has read its configuration, 30
@@ -481,15 +481,15 @@
 TEST_F(relay_fixture, a_request_that_comes_before_the_configuration_is_served_once_it_is_there) {
     scripted_endpoint endpoint({{answer_of("q1", "done"), false, false}});
     configured_after_ = milliseconds(100);
-    begin(route(route_kind::idempotent, 1), {endpoint.address()});
-    EXPECT_EQ(ask("q1").rfind("HTTP/1.1 200", 0), 0U);
+    start_relay(route(route_kind::idempotent, 1), {endpoint.address()});
+    EXPECT_EQ(send_request("q1").rfind("HTTP/1.1 200", 0), 0U);
 }
 
 TEST_F(relay_fixture, without_a_configuration_a_request_is_refused_soon) {
     configured_after_ = seconds(60);
-    begin(route(route_kind::idempotent, 1), {});
+    start_relay(route(route_kind::idempotent, 1), {});
     const time_point asked_at = monotonic_now();
-    EXPECT_EQ(ask("q1").rfind("HTTP/1.1 503", 0), 0U);
+    EXPECT_EQ(send_request("q1").rfind("HTTP/1.1 503", 0), 0U);
     EXPECT_LT(monotonic_now() - asked_at, seconds(2));
 }
 
