--- a/src/relay/attempt_rules.h
+++ b/src/relay/attempt_rules.h
@@ -40,10 +40,10 @@
 
 /** What to do after an attempt has ended without success. */
 enum class follow_up_step {
-    retry,           ///< sends the request to another endpoint; a stream resumes after its last event
-    refuse,          ///< answers 503: the request has not run and never will
-    fail,            ///< answers 502: the request may have run
-    expire,          ///< answers 504: the request may have run and its deadline has passed
+    retry,  ///< sends the request again, elsewhere if possible; a stream resumes after its last event
+    refuse, ///< answers 503: the request has not run and never will
+    fail,   ///< answers 502: the request may have run
+    expire, ///< answers 504: the request may have run and its deadline has passed
     forward_failure, ///< forwards the endpoint's failure answer unchanged
     abort_answer,    ///< resets the caller's connection, so that a partial answer does not look complete
     discard,         ///< does nothing more, as the caller has disconnected
@@ -54,9 +54,9 @@
 
 /** \param since time since the planned stop began
  * \param stop_time time from the start of the planned stop to the end of the process
- * \return whether a request on \p route that arrives now finishes before the process ends. The route's timeout
- * guarantees this for requests other than streams. The timeout of a stream may exceed the stop time, so for a
- * stream the usual duration decides. */
+ * \return whether a request on \p route that arrives now finishes before the process ends. The route's
+ * timeout guarantees this for requests other than streams. The timeout of a stream may exceed the stop time,
+ * so for a stream the usual duration decides. */
 bool can_finish_before_stop(const traffic_route& route, duration since, duration stop_time);
 
 } // namespace laurelhoist
--- a/src/relay/caller_connection.cpp
+++ b/src/relay/caller_connection.cpp
@@ -22,8 +22,8 @@
 constexpr int status_request_timeout = 408;
 constexpr int status_body_too_large = 413;
 constexpr int status_headers_too_large = 431;
-/// Added to the idle limit, so that a caller that respects the limit never sends on a connection that is being
-/// closed.
+/// Added to the idle limit, so that a caller that respects the limit never sends on a connection that is
+/// being closed.
 constexpr duration idle_slack = seconds(1);
 
 } // namespace
--- a/src/relay/caller_connection.h
+++ b/src/relay/caller_connection.h
@@ -21,7 +21,7 @@
     struct handlers {
         /// Called with each complete request; the answer is written to the connection.
         std::function<void(const std::shared_ptr<caller_connection>&, caller_request&&)> on_request;
-        /// Called when the connection itself has answered an invalid, oversized or slow request with \c status.
+        /// Called when the connection itself answers an invalid, oversized or slow request.
         std::function<void(int status)> on_rejected;
         /// Called once, when the connection has closed.
         std::function<void(const std::shared_ptr<caller_connection>&)> on_closed;
@@ -33,16 +33,15 @@
     void start();
     /** Sets the callback for a caller that disconnects before its answer is complete. */
     void on_caller_gone(std::function<void()> work) { on_gone_ = std::move(work); }
-    /** Adds \p bytes to the answer. All bytes added in one iteration of the event loop are sent in one write. */
+    /** Adds \p bytes to the answer; those of one iteration of the event loop are sent in one write. */
     void write(std::string_view bytes);
     /** Ends the answer. \param keeps_alive whether the caller may send another request */
     void finish(bool keeps_alive);
     /** Resets the connection at once, so that the caller cannot take a partial answer for a complete one. */
     void abort();
-    /** Closes the connection if it has been idle too long; answers 408 if a request takes too long to arrive. */
+    /** Closes the connection if it is idle too long; answers 408 if a request takes too long to arrive. */
     void check_timeouts(time_point now);
-    /** Closes the connection unless a request is being received or served. \return whether
-     * it was idle */
+    /** Closes the connection unless a request is being received or served. \return whether it was idle */
     bool close_if_idle();
 
     /** \return whether the caller has closed the connection, even if the event loop has not read the end of
@@ -65,8 +64,8 @@
     const handlers& events_;
     request_reader reader_;
     std::array<char, 8192> incoming_{}; ///< read buffer; most requests arrive in two reads
-    std::string outgoing_;  ///< bytes that wait for the next write
-    std::string in_flight_; ///< bytes of the write under way
+    std::string outgoing_;              ///< bytes that wait for the next write
+    std::string in_flight_;             ///< bytes of the write under way
     std::function<void()> on_gone_;
     time_point timeout_start_; ///< when the connection became idle or the present request began to arrive
     bool is_serving_ = false;
--- a/src/relay/end_confirmation.cpp
+++ b/src/relay/end_confirmation.cpp
@@ -4,8 +4,8 @@
 
 namespace {
 
-/// A refusal is seen within a few ms, or a second or two later on a busy host. No result within this time means
-/// that the endpoint's machine is unreachable, which no request causes.
+/// A refusal is seen within a few ms, or a second or two later on a busy host. No result within this time
+/// means that the endpoint's machine is unreachable, which no request causes.
 constexpr duration probe_timeout = seconds(3);
 /// Requests recorded per probe; an engine runs a few tens at once.
 constexpr std::size_t max_suspects = 256;
@@ -51,7 +51,8 @@
     std::vector<suspected_end> suspects_;
 };
 
-void end_confirmation::probe_endpoint(const std::string& address, const suspected_end& suspected, time_point now) {
+void end_confirmation::probe_endpoint(const std::string& address, const suspected_end& suspected,
+                                      time_point now) {
     std::shared_ptr<probe>& entry = probes_[address];
     const bool is_first = entry == nullptr;
     if (is_first) {
--- a/src/relay/end_confirmation.h
+++ b/src/relay/end_confirmation.h
@@ -30,7 +30,7 @@
 class end_confirmation {
 public:
     /** \param pool creates the probe connections
-     * \param on_ended called with all requests suspected at an endpoint once a probe shows that it has ended */
+     * \param on_ended called with the requests suspected at an endpoint once a probe shows its end */
     end_confirmation(connection_pool& pool, std::function<void(const std::vector<suspected_end>&)> on_ended)
         : pool_{pool}, on_ended_{std::move(on_ended)} {}
 
--- a/src/relay/endpoint_connection.cpp
+++ b/src/relay/endpoint_connection.cpp
@@ -13,9 +13,9 @@
 
 namespace {
 
-/// Idle connections kept for one endpoint. Endpoints limit their connections from all hosts together and reset
-/// any beyond the limit. Each request that may not be repeated opens a new connection, and without this bound
-/// the kept ones used up the endpoint's limit.
+/// Idle connections kept for one endpoint. Endpoints limit their connections from all hosts together and
+/// reset any beyond the limit. Each request that may not be repeated opens a new connection, and without this
+/// bound the kept ones used up the endpoint's limit.
 constexpr std::size_t max_idle_connections = 3;
 
 } // namespace
@@ -82,7 +82,8 @@
     socket_.async_read_some(
         asio::buffer(incoming_), [self = shared_from_this()](asio_error failure, std::size_t bytes) {
             if (failure) {
-                self->close_and_notify(failure == asio::error::eof ? connection_end::finished : connection_end::broken);
+                self->close_and_notify(failure == asio::error::eof ? connection_end::finished
+                                                                   : connection_end::broken);
                 return;
             }
             if (self->observer_ == nullptr) {
--- a/src/relay/endpoint_connection.h
+++ b/src/relay/endpoint_connection.h
@@ -69,7 +69,7 @@
     boost::asio::ip::tcp::socket socket_;
     std::string address_;
     connection_observer* observer_ = nullptr;
-    std::array<char, 8192> incoming_{}; ///< read buffer for about a hundred events; a larger one gains nothing
+    std::array<char, 8192> incoming_{}; ///< fits about a hundred events; a larger buffer gains nothing
     std::deque<std::string> outgoing_;
     bool is_connected_ = false;
 };
--- a/src/relay/event_stream.h
+++ b/src/relay/event_stream.h
@@ -1,7 +1,7 @@
 /** \file
  * Defines the reader of the server-sent events that the relay forwards. It forwards complete events only, so
- * that a caller never receives part of one, and joins the streams of several runs of a request without gaps or
- * duplicates.
+ * that a caller never receives part of one, and joins the streams of several runs of a request without gaps
+ * or duplicates.
  */
 #pragma once
 
@@ -15,8 +15,8 @@
 /** Joins the event streams of one or more runs of the same request.
  *
  * Example: the first run sends events 1 to 7 and breaks in the middle of event 8. \ref begin_run starts the
- * second run, which was asked to resume after event 7. Its event 8 is forwarded; if it sent event 7 again, that
- * event would be dropped. */
+ * second run, which was asked to resume after event 7. Its event 8 is forwarded; if it sent event 7 again,
+ * that event would be dropped. */
 class event_joiner {
 public:
     /** \param last_id id of the last event that the caller already has; 0 if it has none */
--- a/src/relay/exchange.cpp
+++ b/src/relay/exchange.cpp
@@ -13,8 +13,8 @@
 /// Connecting within a network takes a few ms; an endpoint that takes longer than this is unreachable.
 constexpr duration connect_timeout = milliseconds(1000);
 /// Number of unreachable endpoints after which a request is no longer sent to another one. With two in three
-/// endpoints gone, one in 25 requests meets eight of these in sequence. With a limit of 3, one in three requests
-/// was refused although healthy endpoints were available.
+/// endpoints gone, one in 25 requests meets eight of these in sequence. With a limit of 3, one in three
+/// requests was refused although healthy endpoints were available.
 constexpr int max_unreachable_endpoints = 8;
 /// A stream has stalled after a pause of this many times the route's gap objective.
 constexpr int gap_objectives_to_stall = 4;
@@ -115,8 +115,8 @@
 }
 
 // Guards against refusing callers while hosts start. When all hosts are killed and restart together, callers
-// return at once and each host receives many requests in the 30 ms in which it reads the configuration. Without
-// this wait, on eleven hosts, 61 of the 141 requests that ended in these two seconds were refused.
+// return at once and each host receives many requests in the 30 ms in which it reads the configuration.
+// Without this wait, on eleven hosts, 61 of the 141 requests that ended in these two seconds were refused.
 void exchange::await_configuration(time_point now) {
     if (state_.can_route() || now - arrived_at_ > max_configuration_wait) {
         begin();
@@ -242,7 +242,8 @@
     // A request starts on the smallest model. After an answer that was not good enough it goes to the largest
     // model that is still in time.
     const bool is_step_up = min_model_size_ > 0;
-    const model_placements found = placements_from(min_model_size_, is_step_up ? no_size_limit : 1, criteria, now);
+    const model_placements found =
+        placements_from(min_model_size_, is_step_up ? no_size_limit : 1, criteria, now);
     if (found.options.empty()) {
         return false;
     }
@@ -301,7 +302,7 @@
 
 duration exchange::time_to_capacity(time_point now) const {
     return add_jitter(state_.endpoints.allowance().room_in(service_, now).value_or(retry_after_unavailable),
-                       terms_.id);
+                      terms_.id);
 }
 
 void exchange::open_connection() {
@@ -314,8 +315,8 @@
     attempt_.sent_at = now;
     attempt_.heard_at = now;
     const std::string& address = attempt_.chosen.endpoint.address;
-    // An idle connection may be dead without notice, and a failure on it does not show whether the request was
-    // received. A request that may not be repeated therefore gets a new connection.
+    // An idle connection may be dead without notice, and a failure on it does not show whether the request
+    // was received. A request that may not be repeated therefore gets a new connection.
     connection_ = route_->may_repeat() ? state_.pool.take_idle(address, now) : nullptr;
     if (connection_) {
         connection_->set_observer(this);
@@ -330,8 +331,8 @@
 void exchange::on_connected() {
     auto self = shared_from_this();
     // An overloaded host reads requests seconds after they arrived, before it reads the end of the caller's
-    // connection: on a fleet of 295 hosts, requests were forwarded 1.7 s after their callers had disconnected.
-    // This check prevents forwarding for callers that have disconnected before this moment.
+    // connection: on a fleet of 295 hosts, requests were forwarded 1.7 s after their callers had
+    // disconnected. This check prevents forwarding for callers that have disconnected before this moment.
     if (caller_->has_disconnected()) {
         state_.measured.count("callers_left_unread");
         on_caller_gone();
@@ -428,7 +429,8 @@
 
 void exchange::end_attempt(attempt_end end) {
     may_have_run_ = may_have_run_ || !proves_not_run(end);
-    // A requested back-off is not a failure: counted as one, it would exclude the endpoint for longer than asked.
+    // A requested back-off is not a failure: counted as one, it would exclude the endpoint for longer than
+    // asked.
     const bool asks_for_rest = end == attempt_end::refused && answer().says.back_off;
     settle_attempt(asks_for_rest ? call_result::cancelled : to_call_result(end), evidence_of(end));
     release_connection(end == attempt_end::refused || end == attempt_end::failed ||
@@ -569,7 +571,8 @@
 
 void exchange::log_attempt(attempt_end end) {
     const placement& chosen = attempt_.chosen;
-    // The digest is logged only if the endpoint may have ended, to show whether the same request did it before.
+    // The digest is logged only if the endpoint may have ended, to show whether the same request did it
+    // before.
     const std::string known_by = end == attempt_end::broken ? to_text(digest()) : std::string{};
     const duration rest = answer_ ? answer_->says.back_off.value_or(duration::zero()) : duration::zero();
     log_info("attempt_ended", {{"request", terms_.id},
--- a/src/relay/exchange.h
+++ b/src/relay/exchange.h
@@ -14,8 +14,8 @@
 
 /** One request in progress.
  *
- * Its states are defined in charts/relay.scxml: waiting (for an endpoint that accepts work), connecting, asked
- * (sent, nothing forwarded yet), answering (the caller has received part of the answer), finished. */
+ * Its states are defined in charts/relay.scxml: waiting (for an endpoint that accepts work), connecting,
+ * asked (sent, nothing forwarded yet), answering (the caller has received part of the answer), finished. */
 class exchange : public connection_observer, public std::enable_shared_from_this<exchange> {
 public:
     exchange(relay& owner, std::shared_ptr<caller_connection> caller, caller_request request);
@@ -24,11 +24,11 @@
     void start();
     /** Checks time limits and retries placement of a waiting request; called every 50 ms. */
     void on_tick(time_point now);
-    /** Ends the present attempt if it was sent to an earlier process of \p endpoint, which will not answer. */
+    /** Ends the present attempt if it was sent to an earlier process of \p endpoint. */
     void on_endpoint_restarted(const endpoint_record& endpoint);
 
-    /** Checks whether this request is now quarantined; if so, refuses it unless its answer has begun, it is the
-     * trial attempt, or it has been sent and may not be repeated. */
+    /** Checks whether this request is now quarantined; if so, refuses it unless its answer has begun, it is
+     * the trial attempt, or it has been sent and may not be repeated. */
     void on_quarantine_changed();
 
     void on_connected() override;
@@ -43,14 +43,14 @@
         endpoint_wish criteria;
         std::string model;
         std::size_t model_rank = 0; ///< index in the route's models, smallest first
-        time_point sent_at;  ///< when the attempt was placed, before its connection was made
-        time_point heard_at; ///< when data last arrived
-        std::int64_t events_before_attempt = 0; ///< id of the last event that the caller had when this attempt was sent
+        time_point sent_at;         ///< when the attempt was placed, before its connection was made
+        time_point heard_at;        ///< when data last arrived
+        std::int64_t events_before_attempt = 0; ///< last event id that the caller had before this attempt
         bool has_first_byte = false;
-        bool has_head = false;       ///< the answer's head has arrived and its endpoint statement is recorded
-        bool is_trial = false;       ///< the trial attempt of a quarantined request
+        bool has_head = false; ///< the answer's head has arrived and its endpoint statement is recorded
+        bool is_trial = false; ///< the trial attempt of a quarantined request
         bool is_counted_slow = false; ///< already counted against the release for a late first byte
-        bool is_accepted = false;    ///< the answer is good enough to be forwarded
+        bool is_accepted = false;     ///< the answer is good enough to be forwarded
     };
 
     static constexpr int status_bad_gateway = 502;
@@ -71,10 +71,9 @@
     };
     endpoint_wish make_placement_criteria() const;
     static constexpr std::size_t no_size_limit = std::numeric_limits<std::size_t>::max();
-    /** \return the placements of the route's models whose index is at least \p min_size; looks at \p max_count
-     * models at most. */
-    model_placements placements_from(std::size_t min_size, std::size_t max_count, const endpoint_wish& criteria,
-                                     time_point now);
+    /** \return the placements of at most \p max_count of the route's models, from index \p min_size on. */
+    model_placements placements_from(std::size_t min_size, std::size_t max_count,
+                                     const endpoint_wish& criteria, time_point now);
     bool choose(time_point now);
     /** \return the time left of the latency objective for the first event of a larger model. */
     double step_up_budget_ms(time_point now) const;
@@ -155,20 +154,20 @@
     std::string body_;
     event_joiner events_{0};
     std::set<std::string> tried_;    ///< endpoints of failed attempts, which placement avoids
-    std::size_t min_model_size_ = 0; ///< smallest model to use, as an index; raised when an answer is not good enough
-    duration config_age_{};      ///< time since the configuration was confirmed, when the request arrived
+    std::size_t min_model_size_ = 0; ///< index of the smallest model to use; raised for each step up
+    duration config_age_{};          ///< time since the configuration was confirmed, when the request arrived
     std::optional<request_digest> digest_;
     int confidence_ = -1;      ///< stated confidence of the answer; -1 if none
     int first_event_ms_ = -1;  ///< from the request's arrival to the first forwarded event; -1 if none
     int longest_gap_ms_ = -1;  ///< longest pause between forwarded events; -1 if fewer than two
     time_point last_event_at_; ///< when an event was last forwarded
     int attempts_ = 0;
-    int unreachable_endpoints_ = 0;        ///< attempts that could not connect or reached another instance
-    bool has_started_ = false; ///< \ref begin has been called
+    int unreachable_endpoints_ = 0; ///< attempts that could not connect or reached another instance
+    bool has_started_ = false;      ///< \ref begin has been called
     bool may_have_run_ = false;
     bool has_begun_answer_ = false;
     bool is_caller_gone_ = false;
-    bool has_excess_bytes_ = false; ///< the connection carried bytes that do not belong to this request's answer
+    bool has_excess_bytes_ = false; ///< the connection carried bytes beyond this request's answer
 };
 
 } // namespace laurelhoist
--- a/src/relay/exchange_answers.cpp
+++ b/src/relay/exchange_answers.cpp
@@ -29,7 +29,8 @@
         return true;
     }
     const time_point now = monotonic_now();
-    const model_placements larger = placements_from(attempt_.model_rank + 1, no_size_limit, make_placement_criteria(), now);
+    const model_placements larger =
+        placements_from(attempt_.model_rank + 1, no_size_limit, make_placement_criteria(), now);
     return !largest_model_in_time(larger.options, route_->priority, step_up_budget_ms(now)) ||
            !state_.cascade_budget(service_).try_take();
 }
@@ -125,9 +126,9 @@
     attempt_.has_first_byte = true;
     const time_point now = monotonic_now();
     const duration took = now - attempt_.sent_at;
-    // Compared with the reading time of the request's own prompt and not with the predicted time: a slow release
-    // lengthens the predicted backlog of its endpoints, so that even 1.9 s instead of 0.1 s did not count as
-    // slow.
+    // Compared with the reading time of the request's own prompt and not with the predicted time: a slow
+    // release lengthens the predicted backlog of its endpoints, so that even 1.9 s instead of 0.1 s did not
+    // count as slow.
     const double expected_ms = prompt_.is_empty() ? 0 : attempt_.chosen.reading_ms;
     attempt_.is_counted_slow = state_.releases.on_begun(release_key(), {took, expected_ms});
     state_.endpoints.on_first_byte(attempt_.chosen);
@@ -244,7 +245,8 @@
         return;
     }
     if (may_have_ended_endpoint()) {
-        owner_.end_confirmation_.probe_endpoint(attempt_.chosen.endpoint.address, make_suspected_end(), monotonic_now());
+        owner_.end_confirmation_.probe_endpoint(attempt_.chosen.endpoint.address, make_suspected_end(),
+                                                monotonic_now());
     }
     end_attempt(attempt_end::broken);
 }
--- a/src/relay/exchange_quarantine.cpp
+++ b/src/relay/exchange_quarantine.cpp
@@ -12,8 +12,8 @@
 
 // Guards against a request that ends each endpoint that starts to run it. Forwarding it would also break the
 // streams of all other callers there, and callers send it again with a new id. Checked wherever a request is
-// sent to an endpoint: first and later attempts, steps up to a larger model, resumed streams, and requests that
-// have waited.
+// sent to an endpoint: first and later attempts, steps up to a larger model, resumed streams, and requests
+// that have waited.
 bool exchange::is_quarantined(time_point now) {
     return !state_.quarantine.is_empty() && !state_.quarantine.may_send(digest(), now);
 }
--- a/src/relay/http_codec.h
+++ b/src/relay/http_codec.h
@@ -98,7 +98,7 @@
     answer_reader& operator=(answer_reader&&) noexcept;
 
     /** Parses \p bytes and appends the body bytes to \p body.
-     * \return the number of bytes that belong to the answer, or nothing if they are not a valid HTTP answer */
+     * \return the number of bytes that belong to the answer, or nothing if they are not valid HTTP */
     std::optional<std::size_t> feed(std::string_view bytes, std::string& body);
     /** Handles an orderly end of the connection.
      * \return whether the answer is complete */
--- a/src/relay/model_choice.h
+++ b/src/relay/model_choice.h
@@ -4,8 +4,9 @@
  * The largest model can answer every request, at many times the cost and several times the engine time of the
  * smallest, which can answer about half of them. A request therefore starts on the smallest model. The
  * confidence stated in the answer's head, which arrives before the first token is forwarded, decides whether
- * the answer is accepted or a larger model is asked. When engines are lost or a team sends many times its usual
- * load, a larger model could miss the latency objective; the smaller model's answer is then accepted as it is.
+ * the answer is accepted or a larger model is asked. When engines are lost or a team sends many times its
+ * usual load, a larger model could miss the latency objective; the smaller model's answer is then accepted as
+ * it is.
  */
 #pragma once
 
@@ -40,6 +41,6 @@
  * \return the index in \p options of the largest model that is predicted to meet the objective, or nothing if
  * none does */
 std::optional<std::size_t> largest_model_in_time(const std::vector<model_option>& options, int priority,
-                                           double remaining_ms);
+                                                 double remaining_ms);
 
 } // namespace laurelhoist
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-/// Interval at which the time limits of all requests are checked. One timer for all of them saves the wake-ups
-/// of a timer for each request.
+/// Interval at which the time limits of all requests are checked. One timer for all of them saves the
+/// wake-ups of a timer for each request.
 constexpr duration tick_interval = milliseconds(50);
 constexpr std::uint64_t ticks_between_sweeps = 5; ///< sweeps check connections, probes and the quarantine
 /// Requests that an endpoint of a service without an engine profile is assumed to run at once. Within this, a
@@ -109,7 +109,8 @@
 
 void relay::set_slots(std::size_t hosts) {
     for (const traffic_service& service : state_.routing->config().services) {
-        state_.endpoints.set_slots(service.name, service.engine ? service.engine->slots : default_slots, hosts);
+        state_.endpoints.set_slots(service.name, service.engine ? service.engine->slots : default_slots,
+                                   hosts);
     }
 }
 
@@ -130,7 +131,7 @@
 }
 
 void relay::record_statement(const endpoint_record& endpoint, const endpoint_statement& said,
-                           time_point sent_at, const std::string& request) {
+                             time_point sent_at, const std::string& request) {
     const time_point now = monotonic_now();
     const statement_news news = state_.endpoints.allowance().note(endpoint, said, sent_at, now);
     if (said.rate_limit) {
@@ -214,8 +215,8 @@
     }
 }
 
-// Guards against an endpoint that crashed and restarted behind a network partition: its connections were never
-// closed, and requests sent on them would wait until the silence limit.
+// Guards against an endpoint that crashed and restarted behind a network partition: its connections were
+// never closed, and requests sent on them would wait until the silence limit.
 void relay::on_restarted(const endpoint_record& endpoint) {
     log_info("endpoint_restarted", {{"endpoint", endpoint.name}, {"started_at_ms", endpoint.started_at_ms}});
     state_.measured.count("endpoints_restarted");
--- a/src/relay/relay.h
+++ b/src/relay/relay.h
@@ -66,7 +66,7 @@
     config_fence fence;
     first_event_estimate first_events;
     std::map<std::string, retry_budget> retry_budgets;   ///< budgets of retries, by service
-    std::map<std::string, retry_budget> cascade_budgets; ///< budgets of steps up to a larger model, by service
+    std::map<std::string, retry_budget> cascade_budgets; ///< budgets of cascade steps up, by service
 
     /// Steps up at this rate and retries together stay below 0.9 of the requests to a service, which is the
     /// limit for all hosts.
@@ -114,7 +114,7 @@
     relay_state& state() { return state_; }
     const relay_state& state() const { return state_; }
 
-    /** Begins the planned stop: answers announce that the connection closes; requests in progress continue. */
+    /** Begins the planned stop: answers announce that the connection closes; open requests continue. */
     void begin_stop();
     /** Closes idle callers' connections. \return whether no request and no connection is left */
     bool close_idle();
@@ -133,7 +133,7 @@
     void report_connection_refused(const std::string& endpoint);
     /** Records what \p endpoint stated about itself in its answer to \p request. */
     void record_statement(const endpoint_record& endpoint, const endpoint_statement& said, time_point sent_at,
-                        const std::string& request);
+                          const std::string& request);
     void on_endpoint_ended(const std::vector<suspected_end>& suspects);
     void clear_suspicion(request_digest digest);
     void on_quarantine_changed();
--- a/src/relay/wire_dialect.h
+++ b/src/relay/wire_dialect.h
@@ -1,6 +1,6 @@
 /** \file
- * Defines the information that the relay reads from requests and answers, and the interface that maps it to and
- * from the header fields of a deployment.
+ * Defines the information that the relay reads from requests and answers, and the interface that maps it to
+ * and from the header fields of a deployment.
  */
 #pragma once
 
@@ -9,7 +9,7 @@
 
 namespace laurelhoist {
 
-/** One part of a prompt. Requests whose prompts begin with the same parts can share an engine's prefix cache. */
+/** One part of a prompt. Requests whose prompts begin with the same parts can share a prefix cache. */
 struct prompt_part {
     std::string id;
     std::int64_t tokens = 0;
@@ -35,7 +35,7 @@
     std::string team;              ///< empty for an anonymous caller
     std::string model;             ///< empty to keep the model that the caller named
     int urgency = 5;               ///< 0 is the most urgent
-    std::int64_t resume_after = 0; ///< event after which the stream is to resume; 0 to keep the caller's value
+    std::int64_t resume_after = 0; ///< event after which to resume a stream; 0 to keep the caller's value
 };
 
 /** Information about an endpoint's answer. */
--- a/test/relay_fixture.h
+++ b/test/relay_fixture.h
@@ -1,5 +1,6 @@
 /** \file
- * Defines a test fixture that runs a relay on its own thread, and scripted endpoints on the loopback interface.
+ * Defines a test fixture that runs a relay on its own thread, and scripted endpoints on the loopback
+ * interface.
  */
 #pragma once
 
@@ -160,8 +161,8 @@
     std::thread thread_;
 };
 
-/** An endpoint that simulates a crash when it receives a request with a certain body: its connections are reset
- * and nothing listens at its address any more. It answers all other requests. */
+/** An endpoint that simulates a crash when it receives a request with a certain body: its connections are
+ * reset and nothing listens at its address any more. It answers all other requests. */
 class crashing_endpoint {
 public:
     explicit crashing_endpoint(std::string crashing_body)
@@ -179,7 +180,7 @@
     crashing_endpoint& operator=(const crashing_endpoint&) = delete;
 
     const std::string& address() const { return address_; }
-    /** \return the number of requests with \c crashing_body that it received: 0 or 1, as it crashes on the first. */
+    /** \return how often it has crashed: 0 or 1, as it crashes on the first \c crashing_body. */
     int crash_count() const { return crash_count_; }
 
 private:
@@ -275,7 +276,7 @@
 class relay_fixture : public ::testing::Test {
 protected:
     void start_relay(const traffic_route& route, const std::vector<std::string>& endpoints,
-               std::vector<traffic_team> teams = {}) {
+                     std::vector<traffic_team> teams = {}) {
         relay_settings settings;
         settings.host = "h1";
         settings.failure_domain = "d1";
@@ -334,7 +335,8 @@
     }
 
     /** Sends one request. \return all that the relay sends until it closes the connection */
-    std::string send_request(const std::string& id, const std::string& more = "", const std::string& body = "") {
+    std::string send_request(const std::string& id, const std::string& more = "",
+                             const std::string& body = "") {
         asio::io_context context;
         tcp::socket socket(context);
         socket.connect({asio::ip::make_address("127.0.0.1"), port_});
@@ -374,7 +376,7 @@
         return acceptor.local_endpoint().port();
     }
 
-    bool has_cold_starts_ = false; ///< whether endpoints are cold after they start; set before \ref start_relay
+    bool has_cold_starts_ = false; ///< endpoints are cold after their start; set before \ref start_relay
     duration configured_after_{};  ///< delay of the relay's configuration; set before \ref start_relay
     event_loop loop_;
     test_dialect dialect_;
--- a/test/relay_test.cpp
+++ b/test/relay_test.cpp
@@ -19,8 +19,8 @@
     return end == attempt_end::not_sent || end == attempt_end::refused || end == attempt_end::misdirected;
 }
 
-// Guards against running a non-repeatable request twice: the endpoint ran it, its answer was lost, and the relay
-// sends it again.
+// Guards against running a non-repeatable request twice: the endpoint ran it, its answer was lost, and the
+// relay sends it again.
 RC_GTEST_PROP(attempt_rules, a_non_repeatable_request_that_may_have_run_is_never_retried,
               (bool may_have_run_before, int attempts, int max_attempts, bool is_expired, int number)) {
     const attempt_end end = attempt_end_from(std::abs(number % 100));
@@ -60,7 +60,8 @@
 }
 
 // Guards against accepting a request that cannot finish before a planned stop ends. Requests still arrive on
-// open connections; one accepted 0.1 s before the end of the process is cut off, and it is unknown whether it ran.
+// open connections; one accepted 0.1 s before the end of the process is cut off, and it is unknown whether it
+// ran.
 TEST(attempt_rules, no_request_starts_that_could_outlast_the_planned_stop) {
     traffic_route claims;
     claims.kind = route_kind::non_idempotent;
@@ -155,8 +156,8 @@
     (void)reader.finish();
 }
 
-// Guards against request smuggling: with both a Content-Length and chunked encoding, two parsers may disagree on
-// where the request ends, and the rest is taken for another request.
+// Guards against request smuggling: with both a Content-Length and chunked encoding, two parsers may disagree
+// on where the request ends, and the rest is taken for another request.
 TEST(request_reader, a_request_with_two_framings_is_malformed) {
     request_reader reader(16384, 1 << 20);
     reader.feed(
@@ -254,7 +255,8 @@
                             {answer_of("8", "served"), false, false},
                             {answer_of("9", "served"), false, false}});
     has_cold_starts_ = true;
-    start_relay(route(route_kind::non_idempotent, 1), {"127.0.0.1:" + std::to_string(free_port()), live.address()});
+    start_relay(route(route_kind::non_idempotent, 1),
+                {"127.0.0.1:" + std::to_string(free_port()), live.address()});
     std::atomic<int> told{0};
     run_on_relay_thread([&] {
         relay_->state().on_connection_refused = [&](const std::string& endpoint) {
@@ -276,7 +278,8 @@
 TEST_F(relay_fixture, callers_are_refused_at_once_when_all_endpoints_are_evacuated) {
     scripted_endpoint endpoint({{answer_of("7", "served"), false, false}});
     start_relay(route(route_kind::non_idempotent, 1), {endpoint.address()});
-    run_on_relay_thread([&] { relay_->state().endpoints.allowance().set_evacuated({{"d1"}}, monotonic_now()); });
+    run_on_relay_thread(
+        [&] { relay_->state().endpoints.allowance().set_evacuated({{"d1"}}, monotonic_now()); });
     const time_point asked_at = monotonic_now();
     const std::string answer = send_request("7");
     EXPECT_TRUE(contains(answer, "HTTP/1.1 503"));
@@ -285,8 +288,9 @@
     EXPECT_TRUE(endpoint.requests().empty());
 }
 
-// Guards against running requests whose callers have disconnected: an overloaded host (1.7 s late on a fleet of
-// 295) reads the request and forwards it on an idle connection before it reads the end of the caller's connection.
+// Guards against running requests whose callers have disconnected: an overloaded host (1.7 s late on a fleet
+// of 295) reads the request and forwards it on an idle connection before it reads the end of the caller's
+// connection.
 TEST_F(relay_fixture, nothing_is_sent_for_a_caller_that_has_disconnected) {
     scripted_endpoint endpoint(
         {{answer_of("6", "served"), false, false}, {answer_of("7", "late"), false, false}});
@@ -308,9 +312,10 @@
     EXPECT_FALSE(contains(answer, "of another"));
 }
 
-// Guards against a request that ends every engine that starts to run it, until half of them are down. The caller
-// sends it again with a new id to any of seven hosts, and each host sends it to three engines: 24 attempts were
-// logged in eight seconds. Ends must therefore be counted by the request's digest and not by its id.
+// Guards against a request that ends every engine that starts to run it, until half of them are down. The
+// caller sends it again with a new id to any of seven hosts, and each host sends it to three engines: 24
+// attempts were logged in eight seconds. Ends must therefore be counted by the request's digest and not by
+// its id.
 TEST_F(relay_fixture, a_request_that_ends_its_endpoints_is_quarantined) {
     const std::string crashing_prompt = "a prompt that no engine survives";
     std::vector<std::unique_ptr<crashing_endpoint>> endpoints;
@@ -338,7 +343,8 @@
     EXPECT_TRUE(contains(answer, "HTTP/1.1 503")) << answer;
     EXPECT_FALSE(contains(answer, "Retry-After")) << "the caller is not invited to retry";
     EXPECT_LT(monotonic_now() - asked_at, milliseconds(300));
-    EXPECT_TRUE(contains(send_request("6", "", "another prompt"), "served")) << "other requests are still served";
+    EXPECT_TRUE(contains(send_request("6", "", "another prompt"), "served"))
+        << "other requests are still served";
 }
 
 TEST_F(relay_fixture, a_success_without_a_receipt_is_answered_with_502) {
@@ -375,11 +381,12 @@
     });
     const std::string answer = send_request("7");
     EXPECT_TRUE(contains(answer, event(2))) << answer;
-    EXPECT_LT(to_ms(monotonic_now() - asked_at), 1500) << "without the restart notice the silence limit ends the attempt after 4 s";
+    EXPECT_LT(to_ms(monotonic_now() - asked_at), 1500)
+        << "without the restart notice the silence limit ends the attempt after 4 s";
 }
 
-// Guards against missing the end of an engine behind a network partition, which must count against the request
-// that it was running: no connection breaks, and only the store shows the restart.
+// Guards against missing the end of an engine behind a network partition, which must count against the
+// request that it was running: no connection breaks, and only the store shows the restart.
 TEST_F(relay_fixture, a_restart_under_a_request_counts_against_the_request) {
     scripted_endpoint endpoint({{"", false, false}, {answer_of("7", "served"), false, false}});
     start_relay(route(route_kind::idempotent, 3), {endpoint.address()});
@@ -425,8 +432,8 @@
     EXPECT_TRUE(was_reset_);
 }
 
-// Guards against an empty stream: the small model's complete answer arrives in one packet and is declined, and
-// its end must not be taken for the end of the larger model's answer, which has not begun.
+// Guards against an empty stream: the small model's complete answer arrives in one packet and is declined,
+// and its end must not be taken for the end of the larger model's answer, which has not begun.
 TEST_F(relay_fixture, a_declined_answer_does_not_affect_the_next_one) {
     dialect_.route_tokens = 1000;
     scripted_endpoint endpoint(
@@ -459,7 +466,8 @@
     start_relay(route(route_kind::idempotent, 1), {endpoint.address()}, {{"osijek", {"good"}, std::nullopt}});
     EXPECT_TRUE(contains(send_request("7"), "HTTP/1.1 401"));
     EXPECT_TRUE(contains(send_request("7", "Key: bad\r\n"), "HTTP/1.1 401"));
-    EXPECT_TRUE(contains(send_request("7", "Key: good\r\n"), "HTTP/1.1 503")) << "the configuration has not been confirmed";
+    EXPECT_TRUE(contains(send_request("7", "Key: good\r\n"), "HTTP/1.1 503"))
+        << "the configuration has not been confirmed";
     loop_.post([this] { relay_->state().fence.confirm(monotonic_now()); });
     EXPECT_TRUE(contains(send_request("7", "Key: good\r\n"), "served"));
 }
