--- a/src/host/entry_host_peers.cpp
+++ b/src/host/entry_host_peers.cpp
@@ -84,8 +84,8 @@
     const std::string reporter = sender + "/" + std::to_string(message.statuses.front().incarnation);
     rollouts_.merge(reporter, message.counts, message.rollouts, now);
     merge_refusals(message.refused);
-    relay_.take_crash_notices(message.crashes);
-    relay_.take_limit_notices(message.limits);
+    relay_.merge_crash_notices(message.crashes);
+    relay_.merge_limit_notices(message.limits);
 }
 
 // Without an introduction, a host that starts learns of the others only when one of them picks it at random,
@@ -265,7 +265,7 @@
 }
 
 void entry_host::handle(const std::string&, const limit_update& message) {
-    relay_.take_limit_notices(message.limits);
+    relay_.merge_limit_notices(message.limits);
 }
 
 void entry_host::assign_trials(time_point now) {
@@ -325,7 +325,7 @@
 }
 
 void entry_host::handle(const std::string&, const crash_update& message) {
-    relay_.take_crash_notices(message.crashes);
+    relay_.merge_crash_notices(message.crashes);
 }
 
 void entry_host::handle(const std::string& from, const freshness_question& question) {
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -11,13 +11,14 @@
 
 namespace {
 
-/// Time limits are looked at this often; one wake-up for all requests, where a timer each would cost one
-/// each.
+/// Interval at which the time limits of all requests are checked. One timer for all of them saves the
+/// wake-ups of a timer for each request.
 constexpr duration tick_interval = milliseconds(50);
-constexpr std::uint64_t ticks_between_sweeps = 5; ///< of callers' and idle connections
-/// Slots of a plain service's endpoint; the limit then follows what it answers.
-constexpr int plain_slots = 6;
-constexpr double logged_no_limit = -1;
+constexpr std::uint64_t ticks_between_sweeps = 5; ///< sweeps check connections, probes and the quarantine
+/// Requests that an endpoint of a service without an engine profile is assumed to run at once. Within this, a
+/// host's concurrency limit follows the endpoint's answers.
+constexpr int default_slots = 6;
+constexpr double logged_no_limit = -1; ///< logged as the rate of an endpoint without a limit
 
 } // namespace
 
@@ -25,11 +26,11 @@
              chart request_life, const relay_settings& settings)
     : state_{loop, dialect, releases, std::move(endpoint_life), std::move(request_life), settings},
       end_confirmation_{state_.pool,
-                        [this](const std::vector<suspected_end>& suspects) { on_ended_under(suspects); }} {
+                        [this](const std::vector<suspected_end>& suspects) { on_endpoint_ended(suspects); }} {
     caller_events_.on_request = [this](const auto& caller, caller_request&& request) {
         on_request(caller, std::move(request));
     };
-    caller_events_.on_refused = [this](int status) {
+    caller_events_.on_rejected = [this](int status) {
         state_.measured.count("malformed_requests");
         log_info("request_unreadable", {{"status", status}});
     };
@@ -70,12 +71,12 @@
 }
 
 void relay::on_request(const std::shared_ptr<caller_connection>& caller, caller_request request) {
-    auto made = std::make_shared<exchange>(*this, caller, std::move(request));
-    active_.insert(made);
-    made->start();
+    auto created = std::make_shared<exchange>(*this, caller, std::move(request));
+    active_.insert(created);
+    created->start();
 }
 
-// Over a copy: what is done to one exchange may end it, or another.
+// Iterates over a copy, because \p visit may end this exchange or another one.
 template <class Visit>
 void relay::for_each_active(const Visit& visit) {
     const std::vector<std::shared_ptr<exchange>> active(active_.begin(), active_.end());
@@ -92,7 +93,7 @@
     if (++ticks_ % ticks_between_sweeps == 0) {
         const std::vector<std::shared_ptr<caller_connection>> callers(callers_.begin(), callers_.end());
         for (const auto& caller : callers) {
-            caller->check_time(now);
+            caller->check_timeouts(now);
         }
         state_.pool.expire(now);
         state_.quarantine.forget_old(now);
@@ -108,7 +109,8 @@
 
 void relay::set_slots(std::size_t hosts) {
     for (const traffic_service& service : state_.routing->config().services) {
-        state_.endpoints.set_slots(service.name, service.engine ? service.engine->slots : plain_slots, hosts);
+        state_.endpoints.set_slots(service.name, service.engine ? service.engine->slots : default_slots,
+                                   hosts);
     }
 }
 
@@ -120,16 +122,16 @@
     state_.endpoints.allowance().cold().set_services(std::move(services));
 }
 
-void relay::note_refused(const std::string& endpoint) {
+void relay::report_connection_refused(const std::string& endpoint) {
     const bool is_news =
         state_.endpoints.allowance().cold().on_refused(endpoint, duration::zero(), monotonic_now());
-    if (is_news && state_.on_refused) {
-        state_.on_refused(endpoint);
+    if (is_news && state_.on_connection_refused) {
+        state_.on_connection_refused(endpoint);
     }
 }
 
-void relay::note_statement(const endpoint_record& endpoint, const endpoint_statement& said,
-                           time_point sent_at, const std::string& request) {
+void relay::record_statement(const endpoint_record& endpoint, const endpoint_statement& said,
+                             time_point sent_at, const std::string& request) {
     const time_point now = monotonic_now();
     const statement_effects news = state_.endpoints.allowance().note(endpoint, said, sent_at, now);
     if (said.rate_limit) {
@@ -149,13 +151,13 @@
                                          {"requests_per_s", said.rate_limit.value_or(logged_no_limit)},
                                          {"request", request},
                                          {"asked_ms_ago", to_ms(now - sent_at)}});
-        if (state_.on_limit_news) {
-            state_.on_limit_news();
+        if (state_.on_limits_changed) {
+            state_.on_limits_changed();
         }
     }
 }
 
-void relay::take_limit_notices(const std::vector<limit_notice>& notices) {
+void relay::merge_limit_notices(const std::vector<limit_notice>& notices) {
     rate_limits& limits = state_.endpoints.allowance().limits();
     for (const std::string& endpoint : limits.merge(notices, monotonic_now())) {
         log_info("endpoint_rate_limit_heard",
@@ -164,7 +166,7 @@
     }
 }
 
-void relay::on_ended_under(const std::vector<suspected_end>& suspects) {
+void relay::on_endpoint_ended(const std::vector<suspected_end>& suspects) {
     const time_point now = monotonic_now();
     for (const suspected_end& each : suspects) {
         state_.quarantine.on_end(each.digest, each.end, now);
@@ -178,7 +180,7 @@
     on_quarantine_changed();
 }
 
-void relay::take_crash_notices(const std::vector<crash_notice>& notices) {
+void relay::merge_crash_notices(const std::vector<crash_notice>& notices) {
     if (notices.empty()) {
         return;
     }
@@ -186,7 +188,7 @@
     on_quarantine_changed();
 }
 
-void relay::note_answered(request_digest digest) {
+void relay::clear_suspicion(request_digest digest) {
     if (state_.quarantine.ends_of(digest) > 0) {
         lift_quarantine(digest);
     }
@@ -198,8 +200,8 @@
 }
 
 void relay::on_quarantine_changed() {
-    if (state_.on_crash_news) {
-        state_.on_crash_news();
+    if (state_.on_crash_notices_changed) {
+        state_.on_crash_notices_changed();
     }
     for_each_active([](exchange& each) { each.on_quarantine_changed(); });
 }
@@ -213,8 +215,8 @@
     }
 }
 
-// Against an endpoint that crashed behind a cut and came back: its connections were never closed, and what
-// was sent on them waits for an answer until it counts as silent.
+// Guards against an endpoint that crashed and restarted behind a network partition: its connections were
+// never closed, and requests sent on them would wait until the silence limit.
 void relay::on_restarted(const endpoint_record& endpoint) {
     log_info("endpoint_restarted", {{"endpoint", endpoint.name}, {"started_at_ms", endpoint.started_at_ms}});
     state_.measured.count("endpoints_restarted");
