--- a/src/node/config_delta.cpp
+++ b/src/node/config_delta.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr std::size_t kept_views = 16;
+constexpr std::size_t max_kept_views = 16;
 
 error refused(const std::string& why) {
     return {error_kind::conflict, why + "; the sender repeats it whole"};
@@ -16,7 +16,7 @@
 
 void config_history::add(const shared_view& view) {
     views_.push_front(view);
-    if (views_.size() > kept_views) {
+    if (views_.size() > max_kept_views) {
         views_.pop_back();
     }
 }
--- a/src/node/entry_allowance.cpp
+++ b/src/node/entry_allowance.cpp
@@ -9,26 +9,26 @@
     };
 }
 
-void entry_core::note_statement(const context& request, const endpoint_statement& said) {
-    const statement_news news = allowance_.note(request.endpoint, said, request.call_started, now_);
+void entry_core::apply_statement(const context& request, const endpoint_statement& statement) {
+    const statement_news news = allowance_.note(request.endpoint, statement, request.call_started, now_);
     if (!news.is_new_limit && !news.is_rest && !news.is_farewell) {
         return;
     }
     constexpr double no_limit = -1;
-    numbers_.count("endpoint_statements");
+    metrics_.count("endpoint_statements");
     log_info("endpoint_statement", {{"endpoint", request.endpoint.name},
                                     {"request", request.id},
-                                    {"requests_per_s", said.rate_limit.value_or(no_limit)},
-                                    {"rest_ms", to_ms(said.back_off.value_or(duration::zero()))},
-                                    {"is_leaving", said.is_leaving}});
+                                    {"requests_per_s", statement.rate_limit.value_or(no_limit)},
+                                    {"rest_ms", to_ms(statement.back_off.value_or(duration::zero()))},
+                                    {"is_leaving", statement.is_leaving}});
     if (news.is_farewell) {
-        share_leaving(request.endpoint.name);
+        announce_leaving_endpoint(request.endpoint.name);
     }
 }
 
 // The stewards share endpoints out over entries, so that which others use one is not known here, only how
 // many.
-void entry_core::assign_limits() {
+void entry_core::update_rate_limit_shares() {
     for (const auto& [pool, sharers] : sharers_) {
         allowance_.limits().set_sharers(pool, sharers);
     }
--- a/src/node/entry_control.cpp
+++ b/src/node/entry_control.cpp
@@ -12,13 +12,13 @@
 
 constexpr duration ask_interval = milliseconds(800);
 constexpr int asks_between_records = 10;
-constexpr duration bill_resend = milliseconds(300);
-constexpr duration spare_holder_after = milliseconds(60);
-constexpr int retry_soon_ms = 500;
+constexpr duration bill_resend_interval = milliseconds(300);
+constexpr duration extra_holder_delay = milliseconds(60);
+constexpr int default_retry_after_ms = 500;
 
 // Copies to \p message what differs between \p now and \p sent, and notes it as sent.
 template <class Counts>
-void take_changed(const Counts& now, Counts& sent, Counts& message) {
+void collect_changed(const Counts& now, Counts& sent, Counts& message) {
     for (const auto& [name, counts] : now) {
         const auto held = sent.find(name);
         if (held == sent.end() || held->second != counts) {
@@ -54,7 +54,7 @@
         return;
     }
     std::visit([this, &incarnation](const auto& typed) { on(incarnation, typed); }, message);
-    pump();
+    dispatch_queues();
 }
 
 void entry_core::ask_stewards() {
@@ -73,8 +73,8 @@
             link.sent_record = self;
             link.asks_since_record = 0;
         }
-        take_changed(counts_, link.sent_counts, ask.counts);
-        take_changed(team_counts_, link.sent_teams, ask.teams);
+        collect_changed(counts_, link.sent_counts, ask.counts);
+        collect_changed(team_counts_, link.sent_teams, ask.teams);
         port_.send_to_steward(incarnation, ask);
     }
 }
@@ -85,7 +85,7 @@
         return; // Not an echo of ours: a clock that ran backwards must not make us fresher than we are.
     }
     freshness_.on_confirmation(asked_at, duration{message.evidence_age}, message.revision);
-    numbers_.gauge("freshness_age_ms", to_ms(freshness_.age(now_)));
+    metrics_.gauge("freshness_age_ms", to_ms(freshness_.age(now_)));
     const outcome<std::string> ready = host_chart_.next(host_state_, "ready");
     if (value_of(ready) != nullptr && is_ready(now_)) {
         host_state_ = *value_of(ready);
@@ -120,29 +120,29 @@
         return;
     }
     base_view_ = std::move(next);
-    numbers_.count("configurations_applied");
-    numbers_.gauge("revision", static_cast<double>(revision()));
+    metrics_.count("configurations_applied");
+    metrics_.gauge("revision", static_cast<double>(revision()));
     log_info("configuration_in_force", {{"revision", revision()}});
-    share_slots();
-    apply_notice();
+    update_slot_limits();
+    apply_brake_notice();
     last_ask_ = {};
     ask_stewards(); // Tells at once that the revision is in force here.
 }
 
-bool entry_core::is_notice_current() const {
+bool entry_core::is_brake_notice_current() const {
     const fleet_head& head = base_view_->head();
-    const auto rolling = head.bundles.find(notice_.bundle_id);
-    return !notice_.versions.empty() && head.rolling == notice_.bundle_id && rolling != head.bundles.end() &&
-           rolling->second.epoch == notice_.epoch;
+    const auto rolling = head.bundles.find(brake_notice_.bundle_id);
+    return !brake_notice_.versions.empty() && head.rolling == brake_notice_.bundle_id && rolling != head.bundles.end() &&
+           rolling->second.epoch == brake_notice_.epoch;
 }
 
 // A brake works before it is written to the platform: the versions of the latest notice count as stopped
 // for as long as the roll-out that it speaks of has not been resumed or ended.
-void entry_core::apply_notice() {
+void entry_core::apply_brake_notice() {
     view_ = base_view_;
-    if (is_notice_current()) {
+    if (is_brake_notice_current()) {
         fleet_head head = base_view_->head();
-        for (const version_name& version : notice_.versions) {
+        for (const version_name& version : brake_notice_.versions) {
             head.braked.emplace(version, version_stop{"brake notice", 0, ""});
         }
         std::map<std::string, bundle> documents;
@@ -155,20 +155,20 @@
 }
 
 void entry_core::on(const std::string& /*from*/, const brake_notice& message) {
-    const bool is_same_rollout = message.bundle_id == notice_.bundle_id && message.epoch == notice_.epoch;
-    brake_notice merged = is_same_rollout ? notice_ : brake_notice{message.bundle_id, message.epoch, {}};
+    const bool is_same_rollout = message.bundle_id == brake_notice_.bundle_id && message.epoch == brake_notice_.epoch;
+    brake_notice merged = is_same_rollout ? brake_notice_ : brake_notice{message.bundle_id, message.epoch, {}};
     for (const version_name& version : message.versions) {
         if (std::find(merged.versions.begin(), merged.versions.end(), version) == merged.versions.end()) {
             merged.versions.push_back(version);
         }
     }
-    const bool is_older = message.bundle_id == notice_.bundle_id && message.epoch < notice_.epoch;
-    if (merged == notice_ || is_older) {
+    const bool is_older = message.bundle_id == brake_notice_.bundle_id && message.epoch < brake_notice_.epoch;
+    if (merged == brake_notice_ || is_older) {
         return;
     }
-    notice_ = merged;
+    brake_notice_ = merged;
     log_warning("braked", {{"versions", merged.versions}, {"bundle", merged.bundle_id}});
-    apply_notice();
+    apply_brake_notice();
 }
 
 // Requests that wait, run or are being rated on a version that was just stopped must not reach a caller.
@@ -209,7 +209,7 @@
     request.tier = std::min(request.tier, request.ladder.size() - 1);
     choose_tier(request);
     request.pool = view_->model(request.version())->pool;
-    put_in_lane(request, true);
+    push_to_queue(request, true);
 }
 
 // ---- the fleet ----
@@ -229,11 +229,11 @@
         endpoints_.mark_leaving(name, now_);
     }
     sharers_ = message.sharers;
-    share_slots();
-    assign_limits();
+    update_slot_limits();
+    update_rate_limit_shares();
 }
 
-void entry_core::share_slots() {
+void entry_core::update_slot_limits() {
     for (const bundle* document : {base_view_->established(), base_view_->rolling()}) {
         for (const pool_entry& pool : document == nullptr ? std::vector<pool_entry>{} : document->pools) {
             const auto sharers = sharers_.find(pool.name);
@@ -248,15 +248,15 @@
     }
 }
 
-void entry_core::share_leaving(const std::string& endpoint) {
+void entry_core::announce_leaving_endpoint(const std::string& endpoint) {
     for (const auto& [incarnation, link] : links_) {
         port_.send_to_steward(incarnation, endpoints_leaving{{endpoint}});
     }
 }
 
 std::vector<entry_choice> entry_core::entries_for(const std::string& session) const {
-    constexpr std::size_t most_choices = 6;
-    std::vector<entry_choice> choices = choose_entries(session, entries_, most_choices);
+    constexpr std::size_t max_choices = 6;
+    std::vector<entry_choice> choices = choose_entries(session, entries_, max_choices);
     if (choices.empty() && host_state_ == "serving") {
         choices.push_back({settings_.address, settings_.domain});
     }
@@ -274,8 +274,8 @@
     std::set<std::string> domains;
     for (const auto& [incarnation, link] : links_) {
         const bool is_preferred = domains.size() < wanted_bill_copies && domains.insert(link.domain).second;
-        const duration least_age = is_preferred ? duration::zero() : spare_holder_after;
-        std::vector<bill_record> unsent = outbox_.take_unsent(incarnation, now_, bill_resend, least_age);
+        const duration least_age = is_preferred ? duration::zero() : extra_holder_delay;
+        std::vector<bill_record> unsent = outbox_.take_unsent(incarnation, now_, bill_resend_interval, least_age);
         if (!unsent.empty()) {
             port_.send_to_steward(incarnation, bill_batch{std::move(unsent)});
         }
@@ -286,9 +286,9 @@
     const std::string domain = links_.at(from).domain;
     for (const bill_key& key : message.keys) {
         outbox_.on_held(key, from, domain);
-        const auto waiting = billing_.find(key);
-        if (waiting != billing_.end()) {
-            check_billed(requests_.at(waiting->second));
+        const auto waiting = request_by_bill_.find(key);
+        if (waiting != request_by_bill_.end()) {
+            check_bill_copies(requests_.at(waiting->second));
         }
     }
 }
@@ -296,9 +296,9 @@
 void entry_core::on(const std::string& /*from*/, const bill_drained& message) {
     for (const bill_key& key : message.keys) {
         outbox_.on_drained(key);
-        const auto waiting = billing_.find(key);
-        if (waiting != billing_.end()) {
-            check_billed(requests_.at(waiting->second));
+        const auto waiting = request_by_bill_.find(key);
+        if (waiting != request_by_bill_.end()) {
+            check_bill_copies(requests_.at(waiting->second));
         }
     }
 }
@@ -322,7 +322,7 @@
         request.refusal =
             error{error_kind::platform_unavailable,
                   "the platform cannot take the claim that keeps this call from running twice; come back",
-                  ran_state::no, retry_soon_ms};
+                  ran_state::no, default_retry_after_ms};
         fire(message.operation, "claim_failed");
     }
 }
@@ -343,11 +343,11 @@
     }
     const auto open = requests_.find(key);
     const bool is_own_open = open != requests_.end() && open->second.team.name == team->name;
-    const auto kept = kept_replies_.find({team->name, key});
+    const auto kept = reply_cache_.find({team->name, key});
     if (is_own_open || request_by_key_.count({team->name, key}) > 0) {
         reply.body = {{"request", key}, {"state", "in_progress"}, {"ran", "unknown"}};
         port_.reply(reply);
-    } else if (kept != kept_replies_.end()) {
+    } else if (kept != reply_cache_.end()) {
         reply.body = {
             {"request", key}, {"state", "done"}, {"ran", "yes"}, {"answer", kept->second.reply.body}};
         port_.reply(reply);
@@ -399,11 +399,11 @@
 // can hold its address any more; then it refuses, finishes what runs and hands over its records. No timer
 // ends a request: a stop that cuts answers is what this is against.
 void entry_core::advance_stop() {
-    if (host_state_ == "leaving" && now_ - stop_began_ >= settings_.callers_keep_answer) {
+    if (host_state_ == "leaving" && now_ - stop_began_ >= settings_.entry_list_cache_time) {
         host_state_ = *value_of(host_chart_.next(host_state_, "unadvertised"));
         last_ask_ = {};
     }
-    if (host_state_ == "draining" && requests_.empty() && is_handed_over()) {
+    if (host_state_ == "draining" && requests_.empty() && are_bills_handed_over()) {
         invariant("planned_stop_cuts_nothing", requests_.empty(), [&] {
             return json{{"open", requests_.size()}};
         });
@@ -412,7 +412,7 @@
     }
 }
 
-bool entry_core::is_handed_over() const {
+bool entry_core::are_bills_handed_over() const {
     return outbox_.least_copies() >= wanted_copies();
 }
 
--- a/src/node/entry_core.cpp
+++ b/src/node/entry_core.cpp
@@ -9,19 +9,19 @@
 
 namespace {
 
-constexpr int most_attempts = 5;
-constexpr int most_sends_not_run = 12;
-constexpr duration shortest_call_timeout = seconds(2);
+constexpr int max_call_attempts = 5;
+constexpr int max_sends_not_run = 12;
+constexpr duration min_call_timeout = seconds(2);
 constexpr double call_timeout_factor = 8;
 constexpr duration stream_gap_limit = seconds(2);
-constexpr duration claim_resend = milliseconds(400);
-constexpr duration no_endpoint_patience = milliseconds(500);
-constexpr duration no_capacity_patience = seconds(2);
-constexpr duration not_fresh_patience = seconds(1);
+constexpr duration claim_resend_interval = milliseconds(400);
+constexpr duration reroute_delay = milliseconds(500);
+constexpr duration no_capacity_delay = seconds(2);
+constexpr duration not_fresh_delay = seconds(1);
 /// A request may wait for an endpoint whose limit or rest lets it take another one within this time.
-constexpr duration allowance_patience = milliseconds(500);
-constexpr int retry_soon_ms = 500;
-constexpr double step_up_time_share = 1.2; ///< of the next step's expected time must be left
+constexpr duration max_allowance_wait = milliseconds(500);
+constexpr int default_retry_after_ms = 500;
+constexpr double step_up_time_factor = 1.2; ///< of the next step's expected time must be left
 
 } // namespace
 
@@ -59,13 +59,13 @@
 }
 
 entry_core::entry_core(entry_settings settings, const entry_charts& charts, entry_port& port,
-                       metrics& numbers, std::uint64_t seed, entry_policies policies,
+                       metrics& registry, std::uint64_t seed, entry_policies policies,
                        disabled_guards disabled)
     : settings_{std::move(settings)},
       chart_{bind_request_chart(charts.request)},
       host_chart_{charts.host},
       port_{port},
-      numbers_{numbers},
+      metrics_{registry},
       random_{seed},
       policies_{policies},
       disabled_{std::move(disabled)},
@@ -101,42 +101,42 @@
         port_.cancel_call(request.call_id);
         end_call(request, call_result::cancelled);
     }
-    take_from_lane(request);
+    remove_from_queue(request);
     request_by_call_.erase(request.rating_id);
-    billing_.erase({request.team.name, request.bill_id});
-    request_by_caller_.erase(request.asked.caller);
+    request_by_bill_.erase({request.team.name, request.bill_id});
+    request_by_caller_.erase(request.incoming.caller);
     const auto by_key = request_by_key_.find({request.team.name, request.bill_id});
     if (by_key != request_by_key_.end() && by_key->second == request_id) {
         request_by_key_.erase(by_key);
     }
-    numbers_.time("request", now_ - request.arrived);
+    metrics_.time("request", now_ - request.arrived);
     requests_.erase(found);
 }
 
 // ---- guards ----
 
 bool entry_core::needs_claim(const context& request) const {
-    return !request.is_idempotent && !request.asked.idempotency_key.empty() && !request.holds_claim &&
+    return !request.is_idempotent && !request.incoming.idempotency_key.empty() && !request.holds_claim &&
            !is_disabled("claim");
 }
 
 bool entry_core::wants_rating(const context& request) const {
-    return !request.is_service() && !request.asked.stream && request.team.rate_answers;
+    return !request.is_service() && !request.incoming.stream && request.team.rate_answers;
 }
 
 bool entry_core::may_send_again(const context& request) const {
-    return request.attempts < most_sends_not_run && now_ < request.deadline;
+    return request.attempts < max_sends_not_run && now_ < request.deadline;
 }
 
 // A call whose outcome is not known may have run. Sending it again would run it twice, which a caller
 // sees as a doubled booking; so only an idempotent request is ever retried after a failure.
 bool entry_core::may_retry(const context& request) const {
     const bool is_safe = request.is_idempotent || is_disabled("retry_only_idempotent");
-    return is_safe && request.attempts < most_attempts && now_ < request.deadline;
+    return is_safe && request.attempts < max_call_attempts && now_ < request.deadline;
 }
 
 bool entry_core::is_rerun_on_stop(const context& request) const {
-    return !request.is_service() && (!request.asked.stream || request.team.on_withdrawal == "rerun");
+    return !request.is_service() && (!request.incoming.stream || request.team.on_withdrawal == "rerun");
 }
 
 bool entry_core::is_cancellable(const context& request) const {
@@ -145,7 +145,7 @@
 
 // A whole answer below the score is worth more to the caller than none.
 bool entry_core::has_earlier_answer(const context& request) const {
-    return request.earlier && is_usable(request.team.name, request.earlier->version);
+    return request.earlier_answer && is_usable(request.team.name, request.earlier_answer->version);
 }
 
 bool entry_core::should_step_up(const context& request) const {
@@ -155,7 +155,7 @@
         return false;
     }
     const double next_ms = tier_options(request, request.tier + 1).front().latency_ms;
-    if (to_ms(request.deadline - now_) < step_up_time_share * next_ms) {
+    if (to_ms(request.deadline - now_) < step_up_time_factor * next_ms) {
         return false;
     }
     const std::optional<double>& score = request.answer->score;
@@ -170,76 +170,76 @@
 
 // ---- queues ----
 
-void entry_core::put_in_lane(context& request, bool first) {
-    take_from_lane(request);
+void entry_core::push_to_queue(context& request, bool first) {
+    remove_from_queue(request);
     request.is_queued = true;
     request.queued_since = now_;
     ++team_queued_[request.team.name];
-    fair_queue& lane = lanes_[request.lane()];
+    fair_queue& queue = queues_[request.queue_name()];
     if (first) {
-        lane.push_front(request.team.name, request.id, now_);
+        queue.push_front(request.team.name, request.id, now_);
     } else {
-        lane.push(request.team.name, request.id, now_);
+        queue.push(request.team.name, request.id, now_);
     }
 }
 
-void entry_core::take_from_lane(context& request) {
+void entry_core::remove_from_queue(context& request) {
     if (!request.is_queued) {
         return;
     }
     request.is_queued = false;
     --team_queued_[request.team.name];
-    for (auto& [name, lane] : lanes_) {
-        lane.remove(request.team.name, request.id);
+    for (auto& [name, queue] : queues_) {
+        queue.remove(request.team.name, request.id);
     }
 }
 
 void entry_core::enqueue(context& request) {
     retries_.on_first_attempt();
-    put_in_lane(request, false);
+    push_to_queue(request, false);
 }
 
 void entry_core::enqueue_first(context& request) {
-    put_in_lane(request, true);
+    push_to_queue(request, true);
 }
 
-void entry_core::pump() {
-    if (is_pumping_) {
+void entry_core::dispatch_queues() {
+    if (is_dispatching_) {
         return;
     }
-    is_pumping_ = true;
+    is_dispatching_ = true;
     std::vector<std::string> names;
-    for (const auto& [name, lane] : lanes_) {
+    for (const auto& [name, queue] : queues_) {
         names.push_back(name);
     }
     for (const std::string& name : names) {
-        pump_lane(name);
+        dispatch_queue(name);
     }
-    is_pumping_ = false;
+    is_dispatching_ = false;
 }
 
-void entry_core::pump_lane(const std::string& lane) {
-    while (lanes_[lane].size() > 0 && is_fresh() && try_start(lane)) {
+void entry_core::dispatch_queue(const std::string& queue_name) {
+    while (queues_[queue_name].size() > 0 && is_fresh() && try_dispatch_next(queue_name)) {
     }
 }
 
-bool entry_core::try_start(const std::string& lane) {
+bool entry_core::try_dispatch_next(const std::string& queue_name) {
     const auto may_take = [this](const std::string& team) {
         const team_entry* entry = find_team(*view_->established(), team);
         return entry == nullptr || team_in_flight_[team] < entry->max_in_flight;
     };
     // Look before taking: a request taken from the queue without an endpoint would lose its turn.
-    const bool is_service = lane.rfind("service:", 0) == 0;
+    const bool is_service = queue_name.rfind("service:", 0) == 0;
     endpoint_wish any;
-    any.version = is_service ? "" : lane;
-    const model_entry* model = is_service ? nullptr : view_->model(lane);
+    any.version = is_service ? "" : queue_name;
+    const model_entry* model = is_service ? nullptr : view_->model(queue_name);
     any.pool =
-        is_service ? lane.substr(std::string("service:").size()) : (model == nullptr ? "" : model->pool);
+        is_service ? queue_name.substr(std::string("service:").size()) : (model == nullptr ? "" : model->pool);
     if (!endpoints_.choose(any, now_, allowed_within(duration::zero()))) {
         return false;
     }
     const std::optional<std::string> id =
-        lanes_[lane].pop([this](const std::string& t) { return weight_of(t); }, may_take);
+        queues_[queue_name].pop([this](const std::string& t) { return weight_of(t); }, may_take);
     if (!id) {
         return false;
     }
@@ -269,7 +269,7 @@
 }
 
 endpoint_wish entry_core::wish_for(const context& request) const {
-    return {request.pool, request.is_service() ? "" : request.version(), request.asked.prefix,
+    return {request.pool, request.is_service() ? "" : request.version(), request.incoming.prefix,
             request.avoided};
 }
 
@@ -284,7 +284,7 @@
     request.claim_sent = now_;
     claim_request message{request.id, {}};
     message.claim.team = request.team.name;
-    message.claim.key = request.asked.idempotency_key;
+    message.claim.key = request.incoming.idempotency_key;
     message.claim.attempt = request.claim_attempt;
     message.claim.request_digest = request.request_digest;
     if (links_.empty()) {
@@ -300,7 +300,7 @@
     }
     claim_finish message;
     message.claim = {request.team.name,
-                     request.asked.idempotency_key,
+                     request.incoming.idempotency_key,
                      request.claim_attempt,
                      state,
                      request.request_digest,
@@ -329,7 +329,7 @@
 
 duration entry_core::call_timeout(const context& request) const {
     const duration left = request.deadline - now_;
-    if (request.asked.stream) {
+    if (request.incoming.stream) {
         return std::min(left, stream_gap_limit);
     }
     if (!request.is_idempotent) {
@@ -338,14 +338,14 @@
     const double typical = endpoints_.typical_ms(request.pool);
     const auto expected = std::chrono::duration_cast<duration>(
         std::chrono::duration<double, std::milli>(typical * call_timeout_factor));
-    return std::min(left, std::max(shortest_call_timeout, expected));
+    return std::min(left, std::max(min_call_timeout, expected));
 }
 
 void entry_core::dispatch(context& request) {
-    start_on(request, request.endpoint);
+    start_call(request, request.endpoint);
 }
 
-void entry_core::start_on(context& request, const endpoint_record& endpoint) {
+void entry_core::start_call(context& request, const endpoint_record& endpoint) {
     if (!request.is_service()) {
         invariant("allowed_version", view_->is_allowed(request.team.name, request.version()), [&] {
             return json{
@@ -377,15 +377,15 @@
     call.request_id = request.id;
     call.endpoint = endpoint;
     call.version = request.is_service() ? "" : request.version();
-    call.path = request.asked.path;
-    call.body = request.asked.body;
-    call.stream = request.asked.stream;
+    call.path = request.incoming.path;
+    call.body = request.incoming.body;
+    call.stream = request.incoming.stream;
     call.is_idempotent = request.is_idempotent;
     call.resume_from = request.resume_from;
     call.priority = request.team.weight;
     call.timeout = call_timeout(request);
     if (request.parts_streamed > 0 && request.resume_from == 0) {
-        port_.stream({stream_part::kind::restart, request.asked.caller, "", make_reply(request)});
+        port_.stream({stream_part::kind::restart, request.incoming.caller, "", make_reply(request)});
         request.parts_streamed = 0;
     }
     ++request.attempts;
@@ -398,8 +398,8 @@
     ++team_in_flight_[request.team.name];
     endpoints_.on_call_started(endpoint.name, wish_for(request), now_);
     allowance_.on_sent(endpoint.name, now_);
-    numbers_.count("dispatches");
-    numbers_.time("queue_wait", now_ - request.queued_since);
+    metrics_.count("dispatches");
+    metrics_.time("queue_wait", now_ - request.queued_since);
     port_.call_endpoint(call);
 }
 
@@ -418,7 +418,7 @@
     now_ = now;
     const auto owner = request_by_call_.find(call_id);
     if (owner == request_by_call_.end()) {
-        numbers_.count("late_parts_dropped");
+        metrics_.count("late_parts_dropped");
         return;
     }
     context& request = requests_.at(owner->second);
@@ -426,10 +426,10 @@
         return; // A doubled or reordered part: the stream is resumed from the offset that is missing.
     }
     if (request.parts_streamed == 0) {
-        numbers_.time("first_token", now - request.arrived);
+        metrics_.time("first_token", now - request.arrived);
     }
     ++request.parts_streamed;
-    port_.stream({stream_part::kind::text, request.asked.caller, text, make_reply(request)});
+    port_.stream({stream_part::kind::text, request.incoming.caller, text, make_reply(request)});
 }
 
 void entry_core::on_endpoint_answer(const std::string& call_id, const endpoint_answer& answer,
@@ -439,14 +439,14 @@
     if (owner == request_by_call_.end()) {
         // The call was given up: its request has been answered or runs elsewhere. Dropping the late
         // answer by the call's id is what keeps answers from reaching another request or coming twice.
-        numbers_.count("late_answers_dropped");
+        metrics_.count("late_answers_dropped");
         return;
     }
     const std::string id = owner->second;
     context& request = requests_.at(id);
     const std::string endpoint = request.endpoint.name;
     endpoints_.on_report(endpoint, answer.report, now);
-    note_statement(request, answer.says);
+    apply_statement(request, answer.statement);
     call_result result = answer.result;
     const bool is_answer = result == call_result::answered;
     const bool is_own = answer.request_id == request.id || is_disabled("own_answer");
@@ -455,7 +455,7 @@
     if (is_answer && (!is_own || !is_named)) {
         // An engine that obeyed an old order, or mixed up its streams, says so itself by the name or the
         // id in its answer. Such an answer never reaches the caller.
-        numbers_.count("wrong_answers_dropped");
+        metrics_.count("wrong_answers_dropped");
         log_warning("wrong_answer_dropped", {{"request", id},
                                              {"endpoint", endpoint},
                                              {"asked", request.is_service() ? "" : request.version()},
@@ -472,13 +472,13 @@
         result = call_result::cancelled; // Not loaded is no fault of the endpoint's.
     }
     if (result == call_result::leaving) {
-        share_leaving(endpoint);
+        announce_leaving_endpoint(endpoint);
     }
     if (result == call_result::failed) {
-        note_broken_call(request, answer);
+        record_broken_call(request, answer);
     }
     // What an endpoint asks for is no failure of it.
-    const bool asks_for_rest = result == call_result::refused_not_run && answer.says.back_off;
+    const bool asks_for_rest = result == call_result::refused_not_run && answer.statement.back_off;
     end_call(request, asks_for_rest ? call_result::cancelled : result);
     if (is_certain_not_run || answer.version_missing) {
         // "Not run" may be said to the caller only if no earlier call of this request can have run.
@@ -498,23 +498,23 @@
         if (!quarantine_.is_empty()) {
             quarantine_.clear(quarantine_key(request), now_);
         }
-        take_answer(request, answer);
+        record_answer(request, answer);
         fire(id, "answered");
     }
-    pump();
+    dispatch_queues();
 }
 
-void entry_core::take_answer(context& request, const endpoint_answer& answer) {
+void entry_core::record_answer(context& request, const endpoint_answer& answer) {
     if (request.answer && request.answer->score) {
-        const bool is_better = !request.earlier || *request.answer->score > *request.earlier->score;
-        request.earlier = is_better ? request.answer : request.earlier;
+        const bool is_better = !request.earlier_answer || *request.answer->score > *request.earlier_answer->score;
+        request.earlier_answer = is_better ? request.answer : request.earlier_answer;
     }
     pending_answer arrived;
     arrived.text = answer.text;
     arrived.body = answer.body;
     arrived.tokens = answer.tokens;
     if (request.is_service()) {
-        arrived.version = request.asked.service + "/" + request.asked.path;
+        arrived.version = request.incoming.service + "/" + request.incoming.path;
         arrived.status = answer.status;
     } else {
         arrived.version = answer.version;
@@ -532,8 +532,8 @@
 // A dark rating service would cost every answer its whole time limit, twice after a step up. After a few
 // missing ratings answers go on without; one is sent beside now and then, to see whether it is back.
 void entry_core::ask_rating(context& request) {
-    if (is_rater_dark()) {
-        numbers_.count("ratings_skipped");
+    if (is_rater_unavailable()) {
+        metrics_.count("ratings_skipped");
         rate_in_background(request);
         fire(request.id, "rated");
         return;
@@ -545,19 +545,19 @@
     request.rating_id = random_.identifier("rate-");
     request_by_call_[request.rating_id] = request.id;
     port_.request_rating(
-        {request.rating_id, request.id, request.answer->version, request.asked.body, request.answer->text});
+        {request.rating_id, request.id, request.answer->version, request.incoming.body, request.answer->text});
 }
 
 void entry_core::on_rating(const std::string& call_id, std::optional<double> score, time_point now) {
     now_ = now;
-    ratings_missed_ = score ? 0 : ratings_missed_ + 1;
+    missed_ratings_ = score ? 0 : missed_ratings_ + 1;
     const auto background = background_ratings_.find(call_id);
     if (background != background_ratings_.end()) {
         const background_rating rated = background->second;
         background_ratings_.erase(background);
         if (score) {
-            credit_.observe(rated.subject.team, *score >= rated.score_wanted);
-            note_rating(rated.subject, rated.version, *score, rated.score_wanted, rated.prior);
+            credit_.observe(rated.subject.team, *score >= rated.required_score);
+            record_rating(rated.subject, rated.version, *score, rated.required_score, rated.prior);
         }
         return;
     }
@@ -575,41 +575,41 @@
     if (request.state != "rating" || !request.answer) {
         return;
     }
-    numbers_.count(score ? "ratings" : "ratings_missing");
+    metrics_.count(score ? "ratings" : "ratings_missing");
     request.answer->score = score;
     if (score) {
         const model_entry* model = view_->model(request.answer->version);
-        note_rating(subject_of(request, request.answer->version), request.answer->version, *score,
+        record_rating(subject_of(request, request.answer->version), request.answer->version, *score,
                     request.team.quality.score, model == nullptr ? 0.5 : model->prior_quality);
     }
     fire(id, "rated");
-    pump();
+    dispatch_queues();
 }
 
 void entry_core::retry(context& request) {
     if (const std::optional<error> quarantined = check_quarantine(request)) {
         request.refusal = quarantined;
-        put_in_lane(request, true);
+        push_to_queue(request, true);
         fire(request.id, "refused");
         return;
     }
     if (!retries_.try_take()) {
         request.refusal = error{error_kind::endpoint_failed,
                                 "the call failed and too many others are being retried; come back",
-                                ran_state::unknown, retry_soon_ms};
-        put_in_lane(request, true);
+                                ran_state::unknown, default_retry_after_ms};
+        push_to_queue(request, true);
         fire(request.id, "refused");
         return;
     }
-    numbers_.count("retries");
+    metrics_.count("retries");
     // A silent connection: the engine may still be producing this stream, so ask it once to go on from
     // the part that is missing over a new connection, before starting anew elsewhere.
-    const bool may_resume = request.asked.stream && request.parts_streamed > 0 && request.resumes == 0;
-    put_in_lane(request, true);
+    const bool may_resume = request.incoming.stream && request.parts_streamed > 0 && request.resumes == 0;
+    push_to_queue(request, true);
     if (may_resume && endpoints_.takes_work(request.endpoint.name) && is_fresh()) {
         ++request.resumes;
         request.resume_from = request.parts_streamed;
-        take_from_lane(request);
+        remove_from_queue(request);
         fire(request.id, "slot");
         return;
     }
@@ -621,14 +621,14 @@
         port_.cancel_call(request.call_id);
         end_call(request, call_result::cancelled);
     }
-    numbers_.count("reruns_of_stopped_versions");
+    metrics_.count("reruns_of_stopped_versions");
     request.answer.reset();
     request.resume_from = 0;
     reroute_queued(request);
 }
 
 void entry_core::step_up(context& request) {
-    numbers_.count("steps_up");
+    metrics_.count("steps_up");
     if (!request.answer->score) {
         request.stepped_without_rating = true;
     }
@@ -637,59 +637,59 @@
     choose_tier(request);
     request.pool = view_->model(request.version())->pool;
     request.avoided.clear();
-    put_in_lane(request, true);
+    push_to_queue(request, true);
 }
 
 // ---- time ----
 
-void entry_core::check_time(context& request) {
+void entry_core::check_timeouts(context& request) {
     const bool is_over = now_ >= request.deadline;
     if (is_over) {
         fire(request.id, "expired");
         return;
     }
-    if (request.state == "claiming" && now_ - request.claim_sent >= claim_resend) {
+    if (request.state == "claiming" && now_ - request.claim_sent >= claim_resend_interval) {
         ask_claim(request); // The same attempt through another steward: creating it twice changes nothing.
     }
     if (request.state == "billing") {
-        check_billed(request);
+        check_bill_copies(request);
     } else if (request.state == "queued") {
-        find_other_way(request);
+        reroute_or_refuse(request);
     }
 }
 
 // A request that waits for something that will not come: an empty pool, a version loaded nowhere, a host
 // that is cut off. It takes another allowed way, or is refused at once with the truth.
-void entry_core::find_other_way(context& request) {
+void entry_core::reroute_or_refuse(context& request) {
     const duration waited = now_ - request.queued_since;
-    if (!is_fresh() && waited >= not_fresh_patience) {
+    if (!is_fresh() && waited >= not_fresh_delay) {
         request.refusal =
             error{error_kind::not_fresh, "this host cannot confirm its configuration; use another entry host",
-                  ran_state::no, retry_soon_ms};
+                  ran_state::no, default_retry_after_ms};
         fire(request.id, "refused");
         return;
     }
     const std::string version = request.is_service() ? "" : request.version();
-    if (waited < no_endpoint_patience ||
-        endpoints_.could_serve(request.pool, version, now_, allowed_within(allowance_patience))) {
+    if (waited < reroute_delay ||
+        endpoints_.could_serve(request.pool, version, now_, allowed_within(max_allowance_wait))) {
         return;
     }
     for (std::size_t step = 1; step < request.ladder.size() && !request.is_service(); ++step) {
         const std::size_t tier = (request.tier + step) % request.ladder.size();
         const model_entry* model = view_->model(request.ladder[tier]);
         if (model != nullptr && endpoints_.could_serve(model->pool, request.ladder[tier], now_,
-                                                       allowed_within(allowance_patience))) {
-            numbers_.count("ways_around_empty_pools");
-            take_from_lane(request);
+                                                       allowed_within(max_allowance_wait))) {
+            metrics_.count("ways_around_empty_pools");
+            remove_from_queue(request);
             request.tier = tier;
             request.pool = model->pool;
-            put_in_lane(request, true);
+            push_to_queue(request, true);
             return;
         }
     }
-    if (waited >= no_capacity_patience) {
+    if (waited >= no_capacity_delay) {
         request.refusal = error{error_kind::no_capacity, "no endpoint of pool \"" + request.pool + "\" is up",
-                                ran_state::no, std::max(retry_soon_ms, retry_after_ms(request))};
+                                ran_state::no, std::max(default_retry_after_ms, retry_after_ms(request))};
         fire(request.id, "refused");
     }
 }
@@ -708,10 +708,10 @@
     for (const std::string& id : ids) {
         const auto found = requests_.find(id);
         if (found != requests_.end()) {
-            check_time(found->second);
+            check_timeouts(found->second);
         }
     }
-    pump();
+    dispatch_queues();
     advance_stop();
 }
 
@@ -721,9 +721,9 @@
     if (found == request_by_caller_.end()) {
         return;
     }
-    numbers_.count("callers_gone");
+    metrics_.count("callers_gone");
     fire(std::string(found->second), "caller_gone");
-    pump();
+    dispatch_queues();
 }
 
 } // namespace laurelhoist
--- a/src/node/entry_core.h
+++ b/src/node/entry_core.h
@@ -21,7 +21,7 @@
     std::string address; ///< where callers reach it
     std::string domain;
     std::string session_key;                   ///< signs session tokens; the same on every entry
-    duration callers_keep_answer = seconds(5); ///< how long callers keep the answer of /v1/entries
+    duration entry_list_cache_time = seconds(5); ///< how long callers keep the answer of /v1/entries
 };
 
 /** The charts that an entry interprets. */
@@ -42,11 +42,11 @@
 
 class entry_core {
 public:
-    entry_core(entry_settings settings, const entry_charts& charts, entry_port& port, metrics& numbers,
+    entry_core(entry_settings settings, const entry_charts& charts, entry_port& port, metrics& registry,
                std::uint64_t seed, entry_policies policies = {}, disabled_guards disabled = {});
 
     // Callers.
-    void on_request(const caller_request& request, time_point now);
+    void on_request(const caller_request& incoming, time_point now);
     void on_caller_gone(caller_handle caller, time_point now);
     /** \return the entries that the caller should use, best first. */
     std::vector<entry_choice> entries_for(const std::string& session) const;
@@ -90,7 +90,7 @@
         entry_record sent_record;
         int asks_since_record = 0;
     };
-    struct kept_reply {
+    struct cached_reply {
         caller_reply reply;
         std::string request_digest;
         time_point at;
@@ -98,7 +98,7 @@
     struct background_rating {
         quality_estimator::subject subject;
         version_name version;
-        double score_wanted = 0;
+        double required_score = 0;
         double prior = 0;
     };
 
@@ -123,15 +123,15 @@
     void retry(context& request);
     /** Whether an endpoint may get a request of this entry within \p patience, by what it says of itself. */
     endpoint_filter allowed_within(duration patience) const;
-    void note_statement(const context& request, const endpoint_statement& said);
-    void assign_limits();
+    void apply_statement(const context& request, const endpoint_statement& statement);
+    void update_rate_limit_shares();
     /** \return after what time an endpoint of the request's pool that is barred now may get it; 0: not known
      */
     int retry_after_ms(const context& request) const;
     static request_digest quarantine_key(const context& request);
     std::optional<error> check_quarantine(const context& request) const;
-    void note_broken_call(const context& request, const endpoint_answer& answer);
-    void refuse_waiting(request_digest key);
+    void record_broken_call(const context& request, const endpoint_answer& answer);
+    void refuse_queued_requests(request_digest key);
     void rerun(context& request);
     void step_up(context& request);
     void bill(context& request);
@@ -145,12 +145,12 @@
     void abandon(context& request);
 
     // Admission (entry_admission.cpp).
-    std::optional<error> check_caller(const caller_request& asked, const team_entry*& team) const;
+    std::optional<error> check_caller(const caller_request& incoming, const team_entry*& team) const;
     std::optional<error> prepare_model_request(context& request);
     std::optional<error> prepare_service_request(context& request);
     int weight_of(const std::string& team) const;
     std::optional<error> check_queue(const context& request) const;
-    bool answer_from_memory(const caller_request& asked, const team_entry& team);
+    bool answer_from_reply_cache(const caller_request& incoming, const team_entry& team);
     void choose_tier(context& request);
     std::vector<tier_option> tier_options(const context& request, std::size_t first) const;
     quality_estimator::subject subject_of(const context& request, const version_name& version) const;
@@ -174,34 +174,34 @@
     void on(const std::string& from, const peer_ask& message);
     void on(const std::string& from, const peer_answer& message);
     void apply_config(shared_view next);
-    bool is_notice_current() const;
-    void apply_notice();
+    bool is_brake_notice_current() const;
+    void apply_brake_notice();
     void reroute_open_requests();
     void reroute_queued(context& request);
     void ask_stewards();
     void send_bills();
     void advance_stop();
-    bool is_handed_over() const;
+    bool are_bills_handed_over() const;
     std::size_t wanted_copies() const;
-    void share_slots();
-    void share_leaving(const std::string& endpoint);
+    void update_slot_limits();
+    void announce_leaving_endpoint(const std::string& endpoint);
 
     // Calls and queues.
     void fire(std::string request_id, const std::string& event);
     void finish(const std::string& request_id);
-    void put_in_lane(context& request, bool first);
-    void take_from_lane(context& request);
-    void pump();
-    void pump_lane(const std::string& lane);
-    bool try_start(const std::string& lane);
-    void start_on(context& request, const endpoint_record& endpoint);
+    void push_to_queue(context& request, bool first);
+    void remove_from_queue(context& request);
+    void dispatch_queues();
+    void dispatch_queue(const std::string& queue_name);
+    bool try_dispatch_next(const std::string& queue_name);
+    void start_call(context& request, const endpoint_record& endpoint);
     endpoint_wish wish_for(const context& request) const;
     void end_call(context& request, call_result result);
-    bool is_rater_dark() const { return ratings_missed_ >= ratings_missed_to_skip; }
-    void take_answer(context& request, const endpoint_answer& answer);
-    void check_time(context& request);
-    void check_billed(context& request);
-    void find_other_way(context& request);
+    bool is_rater_unavailable() const { return missed_ratings_ >= max_missed_ratings; }
+    void record_answer(context& request, const endpoint_answer& answer);
+    void check_timeouts(context& request);
+    void check_bill_copies(context& request);
+    void reroute_or_refuse(context& request);
     bool is_fresh() const;
     bool is_usable(const std::string& team, const version_name& version) const;
     duration call_timeout(const context& request) const;
@@ -213,19 +213,19 @@
     error refusal_of(const context& request) const;
     void count_release(const context& request);
     void check_release(const context& request);
-    void check_not_stopped(const context& request) const;
+    void check_version_not_stopped(const context& request) const;
     void finish_claim(const context& request, const std::string& state);
-    void remember(const context& request, const caller_reply& reply);
+    void cache_reply(const context& request, const caller_reply& reply);
     void rate_in_background(const context& request);
-    void note_rating(const quality_estimator::subject& subject, const version_name& version, double score,
-                     double wanted, double prior);
+    void record_rating(const quality_estimator::subject& subject, const version_name& version, double score,
+                     double required_score, double prior);
     version_counts& counts_of(const version_name& version);
 
     entry_settings settings_;
     request_chart chart_;
     chart host_chart_;
     entry_port& port_;
-    metrics& numbers_;
+    metrics& metrics_;
     random_source random_;
     entry_policies policies_;
     disabled_guards disabled_;
@@ -240,12 +240,12 @@
     std::vector<steward_record> stewards_;
     std::vector<entry_record> entries_;
     std::map<std::string, std::size_t> sharers_;
-    brake_notice notice_;
+    brake_notice brake_notice_;
     time_point last_ask_;
 
     endpoint_table endpoints_;
     send_allowance allowance_;
-    std::map<std::string, fair_queue> lanes_;
+    std::map<std::string, fair_queue> queues_;
     std::map<std::string, int> team_in_flight_;
     std::map<std::string, int> team_queued_;
     retry_budget retries_;
@@ -260,14 +260,14 @@
     std::unordered_map<std::string, background_rating> background_ratings_;
     std::unordered_map<caller_handle, std::string> request_by_caller_;
     std::map<bill_key, std::string> request_by_key_;
-    std::map<bill_key, kept_reply> kept_replies_;
-    std::list<bill_key> kept_order_;
+    std::map<bill_key, cached_reply> reply_cache_;
+    std::list<bill_key> reply_cache_order_;
     std::map<std::string, caller_handle> lookups_;
     bill_outbox outbox_;
-    std::map<bill_key, std::string> billing_; ///< requests whose answers wait for their bills
-    bool is_pumping_ = false;
-    static constexpr int ratings_missed_to_skip = 3;
-    int ratings_missed_ = 0; ///< since the last rating that came
+    std::map<bill_key, std::string> request_by_bill_; ///< requests whose answers wait for their bills
+    bool is_dispatching_ = false;
+    static constexpr int max_missed_ratings = 3;
+    int missed_ratings_ = 0; ///< since the last rating that came
     time_point next_rater_probe_;
 };
 
--- a/src/node/entry_port.h
+++ b/src/node/entry_port.h
@@ -68,7 +68,7 @@
     std::string text;
     std::int64_t tokens = 0;
     load_report report;
-    endpoint_statement says;
+    endpoint_statement statement;
 };
 
 /** What a caller gets, whole. */
--- a/src/node/entry_quarantine.cpp
+++ b/src/node/entry_quarantine.cpp
@@ -5,7 +5,7 @@
 namespace laurelhoist {
 
 request_digest entry_core::quarantine_key(const context& request) {
-    return digest_of({"POST", request.asked.path, request.team.name, request.request_digest});
+    return digest_of({"POST", request.incoming.path, request.team.name, request.request_digest});
 }
 
 std::optional<error> entry_core::check_quarantine(const context& request) const {
@@ -20,7 +20,7 @@
 // Against a request that ends each endpoint that begins to run it: the answers of all others there are lost
 // with its own, and the caller asks again. Counted where the connection broke before anything came of the
 // answer.
-void entry_core::note_broken_call(const context& request, const endpoint_answer& answer) {
+void entry_core::record_broken_call(const context& request, const endpoint_answer& answer) {
     const bool came_to_nothing = answer.status == 0 && request.parts_streamed == 0 && answer.text.empty();
     if (answer.is_silent || !came_to_nothing) {
         return;
@@ -29,11 +29,11 @@
     const std::uint32_t process = process_code(request.endpoint.name, request.endpoint.started_at_ms);
     quarantine_.on_end(key, {process, request.call_started, now_}, now_);
     if (quarantine_.ends_of(key) >= ends_to_quarantine) {
-        refuse_waiting(key);
+        refuse_queued_requests(key);
     }
 }
 
-void entry_core::refuse_waiting(request_digest key) {
+void entry_core::refuse_queued_requests(request_digest key) {
     std::vector<std::string> waiting;
     for (const auto& [id, request] : requests_) {
         if (request.state == "queued" && quarantine_key(request) == key) {
--- a/src/node/entry_replies.cpp
+++ b/src/node/entry_replies.cpp
@@ -9,12 +9,12 @@
 
 namespace {
 
-constexpr std::size_t most_kept_replies = 2000;
+constexpr std::size_t max_cached_replies = 2000;
 constexpr duration degraded_billing_wait = milliseconds(200);
-constexpr int retry_soon_ms = 500;
+constexpr int default_retry_after_ms = 500;
 constexpr duration rater_probe_interval = seconds(1);
 
-bool names_any(const version_name& version, const std::vector<version_name>& ladder) {
+bool contains(const version_name& version, const std::vector<version_name>& ladder) {
     return std::find(ladder.begin(), ladder.end(), version) != ladder.end();
 }
 
@@ -24,9 +24,9 @@
     return counts_[evidence_key(*view_, version)];
 }
 
-void entry_core::note_rating(const quality_estimator::subject& subject, const version_name& version,
-                             double score, double wanted, double prior) {
-    const bool is_met = score >= wanted;
+void entry_core::record_rating(const quality_estimator::subject& subject, const version_name& version,
+                             double score, double required_score, double prior) {
+    const bool is_met = score >= required_score;
     quality_.observe(subject, is_met, prior);
     version_counts& counts = counts_of(version);
     ++counts.rated;
@@ -37,16 +37,16 @@
 
 void entry_core::bill(context& request) {
     const bool is_earlier_better = has_earlier_answer(request) && request.answer && request.answer->score &&
-                                   *request.earlier->score > *request.answer->score;
+                                   *request.earlier_answer->score > *request.answer->score;
     if (is_earlier_better) {
-        request.answer = request.earlier;
+        request.answer = request.earlier_answer;
     }
-    check_not_stopped(request);
+    check_version_not_stopped(request);
     bill_record record;
     record.team = request.team.name;
     record.request_id = request.bill_id;
     record.version = request.answer->version;
-    record.kind = request.asked.kind;
+    record.kind = request.incoming.kind;
     record.tier = request.answer->tier;
     record.tokens = request.answer->tokens;
     record.cost_micro = request.cost_micro;
@@ -55,7 +55,7 @@
     record.entry = settings_.incarnation;
     record.at_ms = wall_clock_ms();
     request.billing_since = now_;
-    billing_[key_of(record)] = request.id;
+    request_by_bill_[key_of(record)] = request.id;
     outbox_.add(record, now_);
     if (!request.is_idempotent) {
         finish_claim(request, "done");
@@ -68,26 +68,26 @@
 
 // A version that was stopped while its answer was under way must not reach the caller by it. From here on
 // the answer is being paid for, and is released.
-void entry_core::check_not_stopped(const context& request) const {
+void entry_core::check_version_not_stopped(const context& request) const {
     const bool may_finish =
-        request.is_service() || (request.asked.stream && request.team.on_withdrawal == "finish");
+        request.is_service() || (request.incoming.stream && request.team.on_withdrawal == "finish");
     invariant("stopped_answer_is_held_back", may_finish || !view_->is_stopped(request.answer->version), [&] {
         return json{{"request", request.id}, {"version", request.answer->version}};
     });
 }
 
 void entry_core::bill_earlier(context& request) {
-    request.answer = request.earlier;
+    request.answer = request.earlier_answer;
     bill(request);
 }
 
 // An answer is released when its bill would survive the loss of any one failure domain. With one steward
 // left, its copy and this entry's own are two; with none, the answer is held: never run unbilled.
-void entry_core::check_billed(context& request) {
+void entry_core::check_bill_copies(context& request) {
     const std::size_t copies = outbox_.copies({request.team.name, request.bill_id});
     const bool is_degraded = now_ - request.billing_since >= degraded_billing_wait;
     if (copies >= wanted_copies() || (copies >= 1 && is_degraded)) {
-        numbers_.count(copies >= wanted_bill_copies ? "bills_held_twice" : "bills_held_once");
+        metrics_.count(copies >= wanted_bill_copies ? "bills_held_twice" : "bills_held_once");
         fire(request.id, "billed");
     }
 }
@@ -96,7 +96,7 @@
     outbox_.on_drained({request.team.name, request.bill_id});
     send_error(request, {error_kind::ledger_unavailable,
                          "no steward could hold the bill, so the answer was not released; come back",
-                         ran_state::yes, retry_soon_ms});
+                         ran_state::yes, default_retry_after_ms});
 }
 
 // ---- release ----
@@ -118,14 +118,14 @@
         });
     }
     invariant("allowed_answer",
-              view_->is_withdrawn(answer.version) || names_any(answer.version, request.ladder), [&] {
+              view_->is_withdrawn(answer.version) || contains(answer.version, request.ladder), [&] {
                   return json{{"request", request.id}, {"got", answer.version}};
               });
 }
 
 caller_reply entry_core::make_reply(const context& request) const {
     caller_reply reply;
-    reply.caller = request.asked.caller;
+    reply.caller = request.incoming.caller;
     reply.request_id = request.id;
     reply.moved_from = request.moved_from;
     session_pins pins = request.pins;
@@ -168,9 +168,9 @@
               {"request_id", request.id},
               {"quality_met", !answer.score || *answer.score >= request.team.quality.score}}}};
     }
-    remember(request, reply);
-    if (request.asked.stream) {
-        port_.stream({stream_part::kind::end, request.asked.caller, "", reply});
+    cache_reply(request, reply);
+    if (request.incoming.stream) {
+        port_.stream({stream_part::kind::end, request.incoming.caller, "", reply});
         rate_in_background(request);
     } else {
         port_.reply(reply);
@@ -178,7 +178,7 @@
 }
 
 void entry_core::count_release(const context& request) {
-    numbers_.count("released");
+    metrics_.count("released");
     ++team_counts_[request.team.name].whole;
     if (request.is_service()) {
         return;
@@ -193,26 +193,26 @@
     }
 }
 
-void entry_core::remember(const context& request, const caller_reply& reply) {
-    if (request.asked.idempotency_key.empty()) {
+void entry_core::cache_reply(const context& request, const caller_reply& reply) {
+    if (request.incoming.idempotency_key.empty()) {
         return;
     }
     const bill_key key{request.team.name, request.bill_id};
-    if (kept_replies_.count(key) == 0) {
-        kept_order_.push_back(key);
+    if (reply_cache_.count(key) == 0) {
+        reply_cache_order_.push_back(key);
     }
-    kept_replies_[key] = {reply, request.request_digest, now_};
-    if (kept_order_.size() > most_kept_replies) {
-        kept_replies_.erase(kept_order_.front());
-        kept_order_.pop_front();
+    reply_cache_[key] = {reply, request.request_digest, now_};
+    if (reply_cache_order_.size() > max_cached_replies) {
+        reply_cache_.erase(reply_cache_order_.front());
+        reply_cache_order_.pop_front();
     }
 }
 
 // A stream has been sent before it could be rated; its rating teaches the next choice and the brake.
 void entry_core::rate_in_background(const context& request) {
-    constexpr std::size_t most_background_ratings = 500;
+    constexpr std::size_t max_background_ratings = 500;
     const bool is_probe_due = now_ >= next_rater_probe_;
-    if (background_ratings_.size() >= most_background_ratings || (is_rater_dark() && !is_probe_due)) {
+    if (background_ratings_.size() >= max_background_ratings || (is_rater_unavailable() && !is_probe_due)) {
         return;
     }
     next_rater_probe_ = now_ + rater_probe_interval;
@@ -220,7 +220,7 @@
     const model_entry* model = view_->model(request.answer->version);
     background_ratings_[id] = {subject_of(request, request.answer->version), request.answer->version,
                                request.team.quality.score, model == nullptr ? 0.5 : model->prior_quality};
-    port_.request_rating({id, request.id, request.answer->version, request.asked.body, request.answer->text});
+    port_.request_rating({id, request.id, request.answer->version, request.incoming.body, request.answer->text});
 }
 
 // ---- refusals ----
@@ -234,15 +234,15 @@
         team_counts& counts = team_counts_[request.team.name];
         ++(failure.ran == ran_state::no ? counts.refused : counts.failed);
     }
-    numbers_.count(std::string("refused_") + to_string(failure.kind));
+    metrics_.count(std::string("refused_") + to_string(failure.kind));
     caller_reply reply;
-    reply.caller = request.asked.caller;
+    reply.caller = request.incoming.caller;
     reply.status = http_status(failure.kind);
     reply.body = to_error_body(failure, request.id);
     reply.request_id = request.id;
     reply.retry_after_ms = failure.retry_after_ms;
-    if (request.asked.stream) {
-        port_.stream({stream_part::kind::failure, request.asked.caller, "", reply});
+    if (request.incoming.stream) {
+        port_.stream({stream_part::kind::failure, request.incoming.caller, "", reply});
     } else {
         port_.reply(reply);
     }
@@ -251,10 +251,10 @@
 error entry_core::refusal_of(const context& request) const {
     const error late{error_kind::deadline_exceeded,
                      "the latency budget of the team ran out before a slot was free; come back",
-                     ran_state::no, retry_soon_ms};
+                     ran_state::no, default_retry_after_ms};
     const error no_taker{error_kind::no_capacity,
                          "no endpoint of pool \"" + request.pool + "\" takes work now; come back",
-                         ran_state::no, retry_soon_ms};
+                         ran_state::no, default_retry_after_ms};
     error refusal = request.refusal.value_or(now_ >= request.deadline ? late : no_taker);
     if (request.may_have_run && !is_disabled("not_run_truth")) {
         refusal.ran = ran_state::unknown;
@@ -284,10 +284,10 @@
         send_error(request,
                    {error_kind::outcome_unknown,
                     "an earlier call with this Idempotency-Key may have run; its outcome is not known yet",
-                    ran_state::unknown, retry_soon_ms});
+                    ran_state::unknown, default_retry_after_ms});
         return;
     }
-    numbers_.count("answers_from_claims");
+    metrics_.count("answers_from_claims");
     caller_reply reply = make_reply(request);
     reply.status = claim.status;
     reply.body = claim.answer;
@@ -303,7 +303,7 @@
         request.is_idempotent
             ? "no endpoint gave a whole answer in time; it is safe to send the request again"
             : "the call was sent and its answer was lost; look up /v1/requests before acting again";
-    send_error(request, {kind, message, ran_state::unknown, request.is_idempotent ? retry_soon_ms : 0});
+    send_error(request, {kind, message, ran_state::unknown, request.is_idempotent ? default_retry_after_ms : 0});
 }
 
 void entry_core::abandon(context& request) {
--- a/src/node/messages.cpp
+++ b/src/node/messages.cpp
@@ -13,7 +13,7 @@
     "lookup_reply", "endpoints_leaving", "brake_notice",  "peer_ask",      "peer_answer"};
 static_assert(type_names.size() == std::variant_size_v<node_message>);
 
-constexpr std::int64_t longest_hello_age_ms = 60000;
+constexpr std::int64_t max_hello_age_ms = 60000;
 
 using body_decoder = node_message (*)(const json&);
 
@@ -82,15 +82,15 @@
     return bad_message("unknown type " + quoted(document[1]));
 }
 
-std::string prove(const hello_message& hello, const std::string& fleet_key) {
+std::string compute_proof(const hello_message& hello, const std::string& fleet_key) {
     hello_message unproven = hello;
     unproven.proof.clear();
     return hmac_hex(fleet_key, json(unproven).dump());
 }
 
-bool is_proven(const hello_message& hello, const std::string& fleet_key, std::int64_t now_ms) {
-    return std::abs(now_ms - hello.at_ms) < longest_hello_age_ms &&
-           equal_in_constant_time(hello.proof, prove(hello, fleet_key));
+bool has_valid_proof(const hello_message& hello, const std::string& fleet_key, std::int64_t now_ms) {
+    return std::abs(now_ms - hello.at_ms) < max_hello_age_ms &&
+           equal_in_constant_time(hello.proof, compute_proof(hello, fleet_key));
 }
 
 } // namespace laurelhoist
--- a/src/node/messages.h
+++ b/src/node/messages.h
@@ -165,8 +165,8 @@
 outcome<node_message> decode(const std::string& bytes);
 
 /** \return the proof of \p hello under \p fleet_key. */
-std::string prove(const hello_message& hello, const std::string& fleet_key);
+std::string compute_proof(const hello_message& hello, const std::string& fleet_key);
 /** \return whether \p hello was made with \p fleet_key and lately by the wall clock. */
-bool is_proven(const hello_message& hello, const std::string& fleet_key, std::int64_t now_ms);
+bool has_valid_proof(const hello_message& hello, const std::string& fleet_key, std::int64_t now_ms);
 
 } // namespace laurelhoist
--- a/src/node/request_context.h
+++ b/src/node/request_context.h
@@ -26,7 +26,7 @@
     // What was asked.
     std::string id;      ///< made by the entry, new for each call of a caller
     std::string bill_id; ///< the caller's key if it sent one, else \c id
-    caller_request asked;
+    caller_request incoming;
     team_entry team;
     session_pins pins;
     std::string request_digest;
@@ -63,16 +63,16 @@
     int resume_from = 0;
     std::int64_t cost_micro = 0;
     std::optional<pending_answer> answer;  ///< the latest
-    std::optional<pending_answer> earlier; ///< the best rated one before it
+    std::optional<pending_answer> earlier_answer; ///< the best rated one before it
     std::string rating_id;
     std::string moved_from;
     time_point billing_since;
     std::optional<error> refusal;
 
     const version_name& version() const { return ladder[tier]; }
-    bool is_service() const { return !asked.service.empty(); }
+    bool is_service() const { return !incoming.service.empty(); }
     /** The lane it waits in: requests of one lane are interchangeable for an endpoint. */
-    std::string lane() const { return is_service() ? "service:" + pool : version(); }
+    std::string queue_name() const { return is_service() ? "service:" + pool : version(); }
 };
 
 } // namespace laurelhoist
--- a/src/node/steward_commands.cpp
+++ b/src/node/steward_commands.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 constexpr duration command_time_limit = seconds(8);
-constexpr duration spread_time_limit = seconds(4);
+constexpr duration replication_time_limit = seconds(4);
 constexpr duration retry_interval = milliseconds(250);
 constexpr const char* head_key = "head";
 
@@ -54,7 +54,7 @@
         return;
     }
     pending_command& pending = commands_.front();
-    if (pending.is_waiting || now_ < pending.retry_at || pending.phase == command_phase::spread) {
+    if (pending.is_awaiting_platform || now_ < pending.retry_at || pending.phase == command_phase::replicate) {
         return;
     }
     if (now_ >= pending.deadline) {
@@ -62,12 +62,12 @@
             error_kind::outcome_unknown,
             "the platform gave no answer to the write; it may have taken effect: see laurelctl status",
             ran_state::unknown, 1000};
-        const error dark{error_kind::platform_unavailable,
+        const error unavailable{error_kind::platform_unavailable,
                          "the platform does not answer; nothing was changed; come back", ran_state::no, 1000};
-        finish_command(pending.may_have_taken_effect ? unknown : dark);
+        finish_command(pending.may_have_taken_effect ? unknown : unavailable);
         return;
     }
-    pending.is_waiting = true;
+    pending.is_awaiting_platform = true;
     if (pending.phase == command_phase::store_document) {
         store_document();
     } else {
@@ -81,7 +81,7 @@
     call({"", platform_request::action::create, key, 0, json(*pending.document)},
          [this](const platform_reply& reply) {
              pending_command& front = commands_.front();
-             front.is_waiting = false;
+             front.is_awaiting_platform = false;
              // A conflict is the same content under its own hash: an earlier try that took effect.
              const bool is_stored =
                  reply.what == platform_reply::result::ok || reply.what == platform_reply::result::conflict;
@@ -104,7 +104,7 @@
 
 void steward_core::on_read_back(const platform_reply& reply) {
     pending_command& pending = commands_.front();
-    pending.is_waiting = false;
+    pending.is_awaiting_platform = false;
     const bool is_read =
         reply.what == platform_reply::result::ok || reply.what == platform_reply::result::not_found;
     if (!is_read) {
@@ -114,27 +114,27 @@
     const bool exists = reply.what == platform_reply::result::ok;
     const fleet_head head = exists ? reply.object.value.get<fleet_head>() : fleet_head{};
     if (contains_change(head, pending.command.nonce)) {
-        const outcome<shared_view> next = view_after(head);
+        const outcome<shared_view> next = make_view(head);
         if (value_of(next) == nullptr) {
-            fetch_for_command(head);
+            fetch_missing_bundles(head);
             pending.retry_at = now_ + retry_interval;
             return;
         }
         pending.next = *value_of(next);
-        pending.phase = command_phase::spread;
-        pending.deadline = now_ + spread_time_limit;
+        pending.phase = command_phase::replicate;
+        pending.deadline = now_ + replication_time_limit;
         adopt(pending.next, reply.object.version);
-        check_spread();
+        check_replication();
         return;
     }
-    const outcome<fleet_head> changed = apply_command(head, pending.command, bundle_life_);
+    const outcome<fleet_head> changed = apply_command(head, pending.command, bundle_chart_);
     if (const error* refusal = error_of(changed)) {
         finish_command(*refusal);
         return;
     }
-    const outcome<shared_view> next = view_after(*value_of(changed));
+    const outcome<shared_view> next = make_view(*value_of(changed));
     if (value_of(next) == nullptr) {
-        fetch_for_command(*value_of(changed));
+        fetch_missing_bundles(*value_of(changed));
         pending.retry_at = now_ + retry_interval;
         return;
     }
@@ -145,7 +145,7 @@
 
 void steward_core::write_head() {
     pending_command& pending = commands_.front();
-    pending.is_waiting = true;
+    pending.is_awaiting_platform = true;
     const auto action =
         pending.base_version == 0 ? platform_request::action::create : platform_request::action::replace;
     call({"", action, head_key, pending.base_version, json(pending.next->head())},
@@ -154,12 +154,12 @@
 
 void steward_core::on_write_reply(const platform_reply& reply) {
     pending_command& pending = commands_.front();
-    pending.is_waiting = false;
+    pending.is_awaiting_platform = false;
     if (reply.what == platform_reply::result::ok) {
-        pending.phase = command_phase::spread;
-        pending.deadline = now_ + spread_time_limit;
+        pending.phase = command_phase::replicate;
+        pending.deadline = now_ + replication_time_limit;
         adopt(pending.next, reply.object.version);
-        check_spread();
+        check_replication();
         return;
     }
     if (reply.what == platform_reply::result::unknown && disabled_.count("settle_lost_write") == 0) {
@@ -173,8 +173,8 @@
 
 // "Accepted" means that no steward can confirm an older revision any more, even with the platform dark:
 // any majority that it could ask shares a steward with the majority that holds this one.
-void steward_core::check_spread() {
-    if (commands_.empty() || commands_.front().phase != command_phase::spread) {
+void steward_core::check_replication() {
+    if (commands_.empty() || commands_.front().phase != command_phase::replicate) {
         return;
     }
     const pending_command& pending = commands_.front();
--- a/src/node/steward_core.cpp
+++ b/src/node/steward_core.cpp
@@ -5,13 +5,13 @@
 
 namespace laurelhoist {
 
-steward_core::steward_core(steward_settings settings, chart bundle_life, chart host_life, steward_port& port,
-                           metrics& numbers, std::uint64_t seed, disabled_guards disabled)
+steward_core::steward_core(steward_settings settings, chart bundle_chart, chart host_chart, steward_port& port,
+                           metrics& registry, std::uint64_t seed, disabled_guards disabled)
     : settings_{std::move(settings)},
-      bundle_life_{std::move(bundle_life)},
-      host_chart_{std::move(host_life)},
+      bundle_chart_{std::move(bundle_chart)},
+      host_chart_{std::move(host_chart)},
       port_{port},
-      numbers_{numbers},
+      metrics_{registry},
       random_{seed},
       disabled_{std::move(disabled)},
       host_state_{host_chart_.initial()},
@@ -29,17 +29,17 @@
     ask_peers();
     push_config();
     push_fleet();
-    keep_steward_list();
+    update_steward_list();
     advance_command();
-    check_spread();
+    check_replication();
     drain_bills();
     write_finished_claims();
     write_counts();
-    watch_rollout();
-    tend_engines();
+    advance_rollout();
+    reconcile_engines();
     advance_stop();
-    numbers_.gauge("revision", static_cast<double>(view_->revision()));
-    numbers_.gauge("bills_waiting", static_cast<double>(buffer_.waiting()));
+    metrics_.gauge("revision", static_cast<double>(view_->revision()));
+    metrics_.gauge("bills_waiting", static_cast<double>(buffer_.waiting()));
 }
 
 void steward_core::on_entry_up(const hello_message& hello, time_point now) {
@@ -68,11 +68,11 @@
     } else if (const auto* claim = std::get_if<claim_request>(&message)) {
         create_claim({incarnation, claim->operation, claim->claim, 0});
     } else if (const auto* finished = std::get_if<claim_finish>(&message)) {
-        note_finished_claim(finished->claim);
+        record_finished_claim(finished->claim);
     } else if (const auto* lookup = std::get_if<lookup_request>(&message)) {
-        look_up(incarnation, *lookup);
+        look_up_claim(incarnation, *lookup);
     } else if (const auto* leaving = std::get_if<endpoints_leaving>(&message)) {
-        note_leaving(leaving->names);
+        record_leaving_endpoints(leaving->names);
     }
 }
 
@@ -87,7 +87,7 @@
 void steward_core::on_peer_down(const std::string& incarnation, time_point now) {
     now_ = now;
     peers_.erase(incarnation);
-    hand_over_.on_holder_lost(incarnation);
+    hand_over_outbox_.on_holder_lost(incarnation);
 }
 
 void steward_core::on_peer_message(const std::string& incarnation, const node_message& message,
@@ -103,11 +103,11 @@
     } else if (const auto* answer = std::get_if<peer_answer>(&message)) {
         revisions_.on_peer_answer(answer->incarnation, from_micros(answer->asked_at), answer->revision);
         on_revision_of_peer(incarnation, answer->revision);
-        check_spread();
+        check_replication();
     } else if (const auto* update = std::get_if<config_update>(&message)) {
         on_peer_config(incarnation, *update);
     } else if (const auto* leaving = std::get_if<endpoints_leaving>(&message)) {
-        note_leaving(leaving->names);
+        record_leaving_endpoints(leaving->names);
     } else if (const auto* notice = std::get_if<brake_notice>(&message)) {
         for (const auto& [entry, link] : entry_links_) {
             port_.send_to_entry(entry, *notice);
@@ -116,7 +116,7 @@
         hold_bills(incarnation, false, *batch);
     } else if (const auto* held = std::get_if<bill_held>(&message)) {
         for (const bill_key& key : held->keys) {
-            hand_over_.on_held(key, incarnation, found->second.hello.domain);
+            hand_over_outbox_.on_held(key, incarnation, found->second.hello.domain);
         }
     }
 }
--- a/src/node/steward_core.h
+++ b/src/node/steward_core.h
@@ -22,8 +22,8 @@
 
 class steward_core {
 public:
-    steward_core(steward_settings settings, chart bundle_life, chart host_life, steward_port& port,
-                 metrics& numbers, std::uint64_t seed, disabled_guards disabled = {});
+    steward_core(steward_settings settings, chart bundle_chart, chart host_chart, steward_port& port,
+                 metrics& registry, std::uint64_t seed, disabled_guards disabled = {});
 
     void on_tick(time_point now);
     void on_platform_reply(const platform_reply& reply, time_point now);
@@ -72,7 +72,7 @@
         time_point pushed_at;
         time_point last_ask;
         fleet_update sent_fleet;
-        std::string sent_signature; ///< of what the last fleet update was made from
+        std::string sent_fingerprint; ///< of what the last fleet update was made from
     };
     struct peer_link {
         hello_message hello;
@@ -87,7 +87,7 @@
         std::map<std::string, entry_record> entries; ///< that this peer hears from
         std::int64_t entries_as_of = 0;
     };
-    enum class command_phase { store_document, write, read_back, spread };
+    enum class command_phase { store_document, write, read_back, replicate };
     struct pending_command {
         std::string operation; ///< empty for a steward's own
         fleet_command command;
@@ -96,11 +96,11 @@
         time_point deadline;
         shared_view next;
         std::int64_t base_version = 0;
-        bool is_waiting = false; ///< for the platform
+        bool is_awaiting_platform = false; ///< a call of the platform is in progress
         bool may_have_taken_effect = false;
         time_point retry_at;
     };
-    struct claim_work {
+    struct claim_task {
         std::string entry;
         std::string operation;
         claim_record claim;
@@ -113,7 +113,7 @@
     void watch_head();
     void read_hosts();
     void on_head(const platform_reply& reply, time_point asked_at);
-    void fetch_documents(const fleet_head& head, std::int64_t version);
+    void adopt_or_fetch(const fleet_head& head, std::int64_t version);
     void adopt(const shared_view& next, std::int64_t platform_version);
 
     // Commands (steward_commands.cpp).
@@ -124,11 +124,11 @@
     void read_back();
     void on_read_back(const platform_reply& reply);
     void finish_command(const std::optional<error>& failure);
-    void check_spread();
+    void check_replication();
     void start_own_command(fleet_command command);
     bool has_own_command(command_kind kind) const;
-    outcome<shared_view> view_after(const fleet_head& head) const;
-    void fetch_for_command(const fleet_head& head);
+    outcome<shared_view> make_view(const fleet_head& head) const;
+    void fetch_missing_bundles(const fleet_head& head);
 
     // Fleet (steward_fleet.cpp).
     static bool is_alive(const peer_link& link, time_point now);
@@ -141,49 +141,49 @@
     void push_config_to_peer(const std::string& incarnation, peer_link& link);
     void push_fleet();
     void push_fleet_to(const std::string& incarnation, entry_link& link, const fleet_update& shared);
-    void add_entries(peer_link& link, peer_ask& ask);
-    static void take_entries(peer_link& link, const peer_ask& ask);
-    void keep_steward_list();
+    void add_changed_entries(peer_link& link, peer_ask& ask);
+    static void apply_peer_entries(peer_link& link, const peer_ask& ask);
+    void update_steward_list();
     void on_revision_of_peer(const std::string& incarnation, std::int64_t revision);
-    void note_leaving(const std::vector<std::string>& names);
-    std::vector<std::string> leaving_now() const;
+    void record_leaving_endpoints(const std::vector<std::string>& names);
+    std::vector<std::string> current_leaving_endpoints() const;
 
     // Ledger and claims (steward_ledger.cpp).
     void hold_bills(const std::string& from, bool is_entry, const bill_batch& batch);
     void drain_bills();
-    void create_claim(const claim_work& work);
-    void on_claim_conflict(const claim_work& work, const platform_reply& found);
-    void answer_claim(const claim_work& work, const std::string& result, const claim_record& claim);
-    void note_finished_claim(const claim_record& claim);
+    void create_claim(const claim_task& task);
+    void on_claim_conflict(const claim_task& task, const platform_reply& found);
+    void answer_claim(const claim_task& task, const std::string& result, const claim_record& claim);
+    void record_finished_claim(const claim_record& claim);
     void write_finished_claims();
     void write_finished_claim(const claim_record& claim);
-    void look_up(const std::string& entry, const lookup_request& message);
-    void count_teams(const std::string& entry, const std::map<std::string, team_counts>& teams);
+    void look_up_claim(const std::string& entry, const lookup_request& message);
+    void add_team_counts(const std::string& entry, const std::map<std::string, team_counts>& teams);
     void write_counts();
     void advance_stop();
     void hand_over_bills();
 
     // Roll-out (steward_rollout.cpp).
-    void watch_rollout();
+    void advance_rollout();
     void apply_brake(const std::vector<version_name>& bad);
     std::vector<version_name> bad_versions(const std::vector<version_standing>& standings) const;
     std::vector<version_standing> standings() const;
     std::vector<model_entry> established_models() const;
-    void take_step(step_action action);
+    void start_rollout_command(step_action action);
     bool is_my_turn(duration waited) const;
-    void tend_engines();
-    bool is_mine(const std::string& endpoint) const;
+    void reconcile_engines();
+    bool is_responsible_for(const std::string& endpoint) const;
     std::vector<version_name> wanted_versions(const endpoint_record& endpoint) const;
     std::size_t wanted_count(double share, std::size_t endpoints) const;
     bool is_loaded_for_next_step() const;
-    std::vector<std::string> placement_of(const version_name& version) const;
+    std::vector<std::string> endpoints_to_load(const version_name& version) const;
     double next_share() const;
 
     steward_settings settings_;
-    chart bundle_life_;
+    chart bundle_chart_;
     chart host_chart_;
     steward_port& port_;
-    metrics& numbers_;
+    metrics& metrics_;
     random_source random_;
     disabled_guards disabled_;
     time_point now_;
@@ -192,7 +192,7 @@
     shared_view view_;
     std::int64_t head_version_ = 0; ///< the platform's version of the head object that \c view_ came from
     config_history history_;
-    std::map<std::string, bundle> fetched_;
+    std::map<std::string, bundle> fetched_bundles_;
     revision_evidence revisions_;
     std::map<std::string, open_call> calls_;
     bool is_reading_head_ = false;
@@ -210,32 +210,32 @@
     std::int64_t hosts_version_ = 0;     ///< the platform's, of the list last read
     std::int64_t endpoints_version_ = 0; ///< grows when the endpoints differ
     time_point last_fleet_check_;
-    std::map<std::string, time_point> leaving_;
+    std::map<std::string, time_point> leaving_since_;
 
     std::deque<pending_command> commands_;
     segment_buffer buffer_;
     bool is_draining_bills_ = false;
     time_point last_drain_;
     std::map<std::string, claim_record> finished_claims_;
-    std::set<std::string> claims_in_write_;
+    std::set<std::string> claims_being_written_;
     std::set<std::string> voided_attempts_;
 
-    std::map<std::string, std::map<std::string, team_counts>> seen_counts_;
+    std::map<std::string, std::map<std::string, team_counts>> last_counts_;
     std::map<std::string, team_counts> minute_counts_;
     std::int64_t minute_ = 0;
     bool is_writing_counts_ = false;
 
     evidence_pool evidence_;
     step_watch step_watch_;
-    time_point wish_since_;
-    std::string wish_;
+    time_point pending_action_since_;
+    std::string pending_action_;
     std::map<std::string, std::vector<version_name>> loaded_;
     std::map<std::string, std::vector<version_name>> own_loaded_;
     std::map<std::string, time_point> ordered_at_;
     std::map<std::string, time_point> asked_engine_at_;
-    time_point last_engines_look_;
+    time_point last_engine_check_;
     time_point stop_began_;
-    bill_outbox hand_over_;
+    bill_outbox hand_over_outbox_;
 };
 
 } // namespace laurelhoist
--- a/src/node/steward_fleet.cpp
+++ b/src/node/steward_fleet.cpp
@@ -13,11 +13,11 @@
 constexpr duration peer_ask_interval = milliseconds(700);
 constexpr duration fleet_check_interval = milliseconds(300);
 constexpr int asks_between_full = 15;
-constexpr duration push_repeat = milliseconds(700);
+constexpr duration push_repeat_interval = milliseconds(700);
 constexpr duration entry_silence_limit = seconds(3);
 constexpr duration peer_silence_limit = seconds(3);
 constexpr duration steward_absence_limit = seconds(20);
-constexpr duration leaving_memory = seconds(60);
+constexpr duration leaving_retention = seconds(60);
 
 } // namespace
 
@@ -34,7 +34,7 @@
     link.record.revision = std::max(link.record.revision, ask.revision);
     link.last_ask = now_;
     evidence_.merge(incarnation, ask.counts);
-    count_teams(incarnation, ask.teams);
+    add_team_counts(incarnation, ask.teams);
     const std::optional<time_point> as_of = confirmed_as_of(now_);
     if (as_of && host_state_ != "stopped") {
         port_.send_to_entry(incarnation,
@@ -46,8 +46,8 @@
 }
 
 void steward_core::push_config_to_entry(const std::string& incarnation, entry_link& link) {
-    const bool is_pushed = link.pushed_revision == view_->revision() && now_ - link.pushed_at < push_repeat;
-    if (is_pushed || view_->revision() == 0) {
+    const bool is_recently_pushed = link.pushed_revision == view_->revision() && now_ - link.pushed_at < push_repeat_interval;
+    if (is_recently_pushed || view_->revision() == 0) {
         return;
     }
     link.pushed_revision = view_->revision();
@@ -96,10 +96,10 @@
     return all;
 }
 
-std::vector<std::string> steward_core::leaving_now() const {
+std::vector<std::string> steward_core::current_leaving_endpoints() const {
     std::vector<std::string> names;
-    for (const auto& [name, since] : leaving_) {
-        if (now_ - since < leaving_memory) {
+    for (const auto& [name, since] : leaving_since_) {
+        if (now_ - since < leaving_retention) {
             names.push_back(name);
         }
     }
@@ -119,12 +119,12 @@
     for (entry_record& entry : shared.entries) {
         entry.revision = 0; // Callers' choice does not depend on it, and it would make every push differ.
     }
-    shared.leaving = leaving_now();
+    shared.leaving = current_leaving_endpoints();
     shared.stewards = view_->head().stewards;
-    const std::string signature = json(shared).dump() + std::to_string(endpoints_version_);
+    const std::string fingerprint = json(shared).dump() + std::to_string(endpoints_version_);
     for (auto& [incarnation, link] : entry_links_) {
-        if (link.sent_signature != signature && link.last_ask != time_point{}) {
-            link.sent_signature = signature;
+        if (link.sent_fingerprint != fingerprint && link.last_ask != time_point{}) {
+            link.sent_fingerprint = fingerprint;
             push_fleet_to(incarnation, link, shared);
         }
     }
@@ -153,13 +153,13 @@
     }
 }
 
-void steward_core::note_leaving(const std::vector<std::string>& names) {
+void steward_core::record_leaving_endpoints(const std::vector<std::string>& names) {
     std::vector<std::string> fresh;
     for (const std::string& name : names) {
-        const auto found = leaving_.find(name);
-        if (found == leaving_.end() || now_ - found->second > leaving_memory) {
+        const auto found = leaving_since_.find(name);
+        if (found == leaving_since_.end() || now_ - found->second > leaving_retention) {
             fresh.push_back(name);
-            leaving_[name] = now_;
+            leaving_since_[name] = now_;
         }
     }
     if (fresh.empty()) {
@@ -186,7 +186,7 @@
         ask.asked_at = to_micros(now_);
         ask.incarnation = settings_.incarnation;
         ask.revision = view_->revision();
-        add_entries(link, ask);
+        add_changed_entries(link, ask);
         for (const auto& [entry, heard] : entry_links_) {
             const auto counts = evidence_.by_reporter().find(entry);
             if (counts != evidence_.by_reporter().end() && link.sent_counts[entry] != counts->second) {
@@ -205,7 +205,7 @@
     }
 }
 
-void steward_core::add_entries(peer_link& link, peer_ask& ask) {
+void steward_core::add_changed_entries(peer_link& link, peer_ask& ask) {
     ask.is_full = ++link.asks_since_full >= asks_between_full;
     if (ask.is_full) {
         link.asks_since_full = 0;
@@ -234,7 +234,7 @@
     link.sent_entries = std::move(heard);
 }
 
-void steward_core::take_entries(peer_link& link, const peer_ask& ask) {
+void steward_core::apply_peer_entries(peer_link& link, const peer_ask& ask) {
     if (ask.asked_at <= link.entries_as_of) {
         return; // Doubled or late; what it says has been replaced.
     }
@@ -256,7 +256,7 @@
 }
 
 void steward_core::on_peer_ask(const std::string& incarnation, const peer_ask& ask) {
-    take_entries(peers_.at(incarnation), ask);
+    apply_peer_entries(peers_.at(incarnation), ask);
     for (const auto& [entry, counts] : ask.counts) {
         evidence_.merge(entry, counts);
     }
@@ -276,8 +276,8 @@
 }
 
 void steward_core::push_config_to_peer(const std::string& incarnation, peer_link& link) {
-    const bool is_pushed = link.pushed_revision == view_->revision() && now_ - link.pushed_at < push_repeat;
-    if (is_pushed || view_->revision() == 0) {
+    const bool is_recently_pushed = link.pushed_revision == view_->revision() && now_ - link.pushed_at < push_repeat_interval;
+    if (is_recently_pushed || view_->revision() == 0) {
         return;
     }
     link.pushed_revision = view_->revision();
@@ -308,7 +308,7 @@
 // listed steward replaces it: the one before has forgotten and answers no more. A new name joins only when
 // a majority holds the present list, so that nobody with an older list can find a majority without
 // somebody who knows better. A steward whose host has left the platform's list is dropped.
-void steward_core::keep_steward_list() {
+void steward_core::update_steward_list() {
     const std::vector<steward_record>& list = view_->head().stewards;
     const std::optional<time_point> as_of = confirmed_as_of(now_);
     if (!as_of || now_ - *as_of > peer_silence_limit || host_state_ != "serving") {
@@ -320,10 +320,10 @@
     const steward_record self{settings_.incarnation, settings_.name, settings_.address, settings_.domain};
     const bool is_replacing =
         std::any_of(list.begin(), list.end(), [&](const steward_record& s) { return s.name == self.name; });
-    const bool is_spread =
+    const bool is_held_by_majority =
         revisions_.holders(view_->revision(), view_->revision(), list) >= majority_of(list.size());
     if (!is_listed() && !has_own_command(command_kind::add_steward) &&
-        (list.empty() || is_replacing || is_spread)) {
+        (list.empty() || is_replacing || is_held_by_majority)) {
         fleet_command command;
         command.kind = command_kind::add_steward;
         command.steward = self;
--- a/src/node/steward_ledger.cpp
+++ b/src/node/steward_ledger.cpp
@@ -11,13 +11,13 @@
 namespace {
 
 constexpr duration drain_interval = seconds(1);
-constexpr duration hand_over_after = seconds(2);
-constexpr duration hand_over_resend = milliseconds(300);
-constexpr duration longest_hand_over = seconds(20);
-constexpr int most_claim_tries = 6;
-constexpr std::size_t most_voided = 10000;
-constexpr std::size_t most_finished_claims = 5000;
-constexpr std::size_t claim_writes_at_a_time = 32;
+constexpr duration hand_over_delay = seconds(2);
+constexpr duration hand_over_resend_interval = milliseconds(300);
+constexpr duration max_hand_over_time = seconds(20);
+constexpr int max_claim_tries = 6;
+constexpr std::size_t max_voided_attempts = 10000;
+constexpr std::size_t max_finished_claims = 5000;
+constexpr std::size_t max_concurrent_claim_writes = 32;
 constexpr std::int64_t ms_per_minute = 60000;
 
 } // namespace
@@ -58,10 +58,10 @@
              const bool is_written =
                  reply.what == platform_reply::result::ok || reply.what == platform_reply::result::conflict;
              if (!is_written) {
-                 numbers_.count("segment_writes_failed");
+                 metrics_.count("segment_writes_failed");
                  return;
              }
-             numbers_.count("segments_written");
+             metrics_.count("segments_written");
              std::map<std::string, bill_drained> by_entry;
              for (const bill_record& record : buffer_.on_written(name)) {
                  by_entry[record.entry].keys.push_back(key_of(record));
@@ -74,46 +74,46 @@
 
 // ---- claims ----
 
-void steward_core::create_claim(const claim_work& work) {
-    if (voided_attempts_.count(work.claim.attempt) > 0) {
+void steward_core::create_claim(const claim_task& task) {
+    if (voided_attempts_.count(task.claim.attempt) > 0) {
         return;
     }
-    if (work.tries >= most_claim_tries) {
-        answer_claim(work, "unavailable", work.claim);
+    if (task.tries >= max_claim_tries) {
+        answer_claim(task, "unavailable", task.claim);
         return;
     }
-    const std::string key = claim_name(work.claim.team, work.claim.key);
-    call({"", platform_request::action::create, key, 0, json(work.claim)},
-         [this, work](const platform_reply& reply) {
+    const std::string key = claim_name(task.claim.team, task.claim.key);
+    call({"", platform_request::action::create, key, 0, json(task.claim)},
+         [this, task](const platform_reply& reply) {
              if (reply.what == platform_reply::result::ok) {
-                 answer_claim(work, "created", work.claim);
+                 answer_claim(task, "created", task.claim);
              } else if (reply.what == platform_reply::result::unavailable) {
-                 answer_claim(work, "unavailable", work.claim);
+                 answer_claim(task, "unavailable", task.claim);
              } else {
                  // Taken, or an answer was lost: what stands there now decides.
-                 call({"", platform_request::action::get, claim_name(work.claim.team, work.claim.key), 0, {}},
-                      [this, work](const platform_reply& found) { on_claim_conflict(work, found); });
+                 call({"", platform_request::action::get, claim_name(task.claim.team, task.claim.key), 0, {}},
+                      [this, task](const platform_reply& found) { on_claim_conflict(task, found); });
              }
          });
 }
 
-void steward_core::on_claim_conflict(const claim_work& work, const platform_reply& found) {
-    claim_work again = work;
+void steward_core::on_claim_conflict(const claim_task& task, const platform_reply& found) {
+    claim_task again = task;
     ++again.tries;
     if (found.what == platform_reply::result::not_found) {
         create_claim(again);
         return;
     }
     if (found.what != platform_reply::result::ok) {
-        answer_claim(work, "unavailable", work.claim);
+        answer_claim(task, "unavailable", task.claim);
         return;
     }
-    const auto standing = found.object.value.get<claim_record>();
-    if (standing.attempt == work.claim.attempt && standing.state == "claimed") {
-        answer_claim(work, "created", work.claim);
-    } else if (standing.state == "voided" && standing.attempt != work.claim.attempt) {
+    const auto existing = found.object.value.get<claim_record>();
+    if (existing.attempt == task.claim.attempt && existing.state == "claimed") {
+        answer_claim(task, "created", task.claim);
+    } else if (existing.state == "voided" && existing.attempt != task.claim.attempt) {
         call(
-            {"", platform_request::action::replace, found.object.key, found.object.version, json(work.claim)},
+            {"", platform_request::action::replace, found.object.key, found.object.version, json(task.claim)},
             [this, again](const platform_reply& reply) {
                 if (reply.what == platform_reply::result::ok) {
                     answer_claim(again, "created", again.claim);
@@ -122,24 +122,24 @@
                 }
             });
     } else {
-        answer_claim(work, "taken", standing);
+        answer_claim(task, "taken", existing);
     }
 }
 
-void steward_core::answer_claim(const claim_work& work, const std::string& result,
+void steward_core::answer_claim(const claim_task& task, const std::string& result,
                                 const claim_record& claim) {
-    numbers_.count("claims_" + result);
-    port_.send_to_entry(work.entry, claim_reply{work.operation, result, claim});
+    metrics_.count("claims_" + result);
+    port_.send_to_entry(task.entry, claim_reply{task.operation, result, claim});
 }
 
-void steward_core::note_finished_claim(const claim_record& claim) {
+void steward_core::record_finished_claim(const claim_record& claim) {
     if (claim.state == "voided") {
-        if (voided_attempts_.size() > most_voided) {
+        if (voided_attempts_.size() > max_voided_attempts) {
             voided_attempts_.clear();
         }
         voided_attempts_.insert(claim.attempt);
     }
-    if (finished_claims_.size() < most_finished_claims) {
+    if (finished_claims_.size() < max_finished_claims) {
         finished_claims_[claim_name(claim.team, claim.key)] = claim;
     }
     write_finished_claims();
@@ -147,10 +147,10 @@
 
 void steward_core::write_finished_claims() {
     for (const auto& [key, claim] : std::map<std::string, claim_record>(finished_claims_)) {
-        if (claims_in_write_.size() >= claim_writes_at_a_time) {
+        if (claims_being_written_.size() >= max_concurrent_claim_writes) {
             return;
         }
-        if (claims_in_write_.insert(key).second) {
+        if (claims_being_written_.insert(key).second) {
             write_finished_claim(claim);
         }
     }
@@ -159,7 +159,7 @@
 void steward_core::write_finished_claim(const claim_record& claim) {
     const std::string key = claim_name(claim.team, claim.key);
     const auto done = [this, key, claim](bool is_settled) {
-        claims_in_write_.erase(key);
+        claims_being_written_.erase(key);
         const auto held = finished_claims_.find(key);
         if (is_settled && held != finished_claims_.end() && held->second == claim) {
             finished_claims_.erase(held);
@@ -179,8 +179,8 @@
                  done(found.what == platform_reply::result::not_found);
                  return;
              }
-             const auto standing = found.object.value.get<claim_record>();
-             if (standing.attempt != claim.attempt || standing.state != "claimed") {
+             const auto existing = found.object.value.get<claim_record>();
+             if (existing.attempt != claim.attempt || existing.state != "claimed") {
                  done(true);
                  return;
              }
@@ -188,7 +188,7 @@
          });
 }
 
-void steward_core::look_up(const std::string& entry, const lookup_request& message) {
+void steward_core::look_up_claim(const std::string& entry, const lookup_request& message) {
     const auto finished = finished_claims_.find(claim_name(message.team, message.key));
     if (finished != finished_claims_.end()) {
         port_.send_to_entry(entry, lookup_reply{message.operation, "found", finished->second});
@@ -209,10 +209,10 @@
 
 // ---- counts for the report on service-level burn ----
 
-void steward_core::count_teams(const std::string& entry, const std::map<std::string, team_counts>& teams) {
-    const bool is_counted_here = is_mine(entry);
+void steward_core::add_team_counts(const std::string& entry, const std::map<std::string, team_counts>& teams) {
+    const bool is_counted_here = is_responsible_for(entry);
     for (const auto& [team, counts] : teams) {
-        team_counts& seen = seen_counts_[entry][team];
+        team_counts& seen = last_counts_[entry][team];
         if (is_counted_here) {
             team_counts& bucket = minute_counts_[team];
             bucket.asked += std::max<std::int64_t>(0, counts.asked - seen.asked);
@@ -283,33 +283,33 @@
 void steward_core::hand_over_bills() {
     const std::optional<ledger_segment> segment = buffer_.current();
     for (const bill_record& record : segment ? segment->records : std::vector<bill_record>{}) {
-        hand_over_.add(record, now_);
+        hand_over_outbox_.add(record, now_);
     }
     for (const auto& [incarnation, link] : peers_) {
-        std::vector<bill_record> unsent = hand_over_.take_unsent(incarnation, now_, hand_over_resend);
+        std::vector<bill_record> unsent = hand_over_outbox_.take_unsent(incarnation, now_, hand_over_resend_interval);
         if (!unsent.empty()) {
             port_.send_to_peer(incarnation, bill_batch{std::move(unsent)});
         }
     }
-    if (segment && !peers_.empty() && hand_over_.least_copies() >= 1) {
+    if (segment && !peers_.empty() && hand_over_outbox_.least_copies() >= 1) {
         buffer_.on_written(segment->name);
     }
 }
 
 void steward_core::advance_stop() {
-    if (host_state_ == "leaving" && (commands_.empty() || now_ - stop_began_ > hand_over_after)) {
+    if (host_state_ == "leaving" && (commands_.empty() || now_ - stop_began_ > hand_over_delay)) {
         host_state_ = *value_of(host_chart_.next(host_state_, "unadvertised"));
     }
     if (host_state_ != "draining") {
         return;
     }
-    const bool is_dark = now_ - stop_began_ > hand_over_after && !buffer_.is_empty();
-    if (is_dark) {
+    const bool is_platform_unavailable = now_ - stop_began_ > hand_over_delay && !buffer_.is_empty();
+    if (is_platform_unavailable) {
         hand_over_bills();
     }
-    const bool is_given_up = now_ - stop_began_ > longest_hand_over && peers_.empty();
+    const bool is_given_up = now_ - stop_began_ > max_hand_over_time && peers_.empty();
     if ((buffer_.is_empty() && finished_claims_.empty()) || is_given_up ||
-        (buffer_.is_empty() && now_ - stop_began_ > longest_hand_over)) {
+        (buffer_.is_empty() && now_ - stop_began_ > max_hand_over_time)) {
         host_state_ = *value_of(host_chart_.next(host_state_, "empty"));
         log_info("stopped",
                  {{"bills_waiting", buffer_.waiting()}, {"claims_waiting", finished_claims_.size()}});
--- a/src/node/steward_platform.cpp
+++ b/src/node/steward_platform.cpp
@@ -20,7 +20,7 @@
 void steward_core::call(platform_request request, reply_handler handler) {
     request.operation = random_.identifier("op-");
     calls_[request.operation] = {now_, std::move(handler)};
-    numbers_.count("platform_calls");
+    metrics_.count("platform_calls");
     port_.call_platform(request);
 }
 
@@ -78,7 +78,7 @@
         return;
     }
     if (reply.what != platform_reply::result::ok) {
-        numbers_.count("platform_reads_failed");
+        metrics_.count("platform_reads_failed");
         return;
     }
     const auto head = reply.object.value.get<fleet_head>();
@@ -86,25 +86,25 @@
     if (head.revision == view_->revision()) {
         head_version_ = reply.object.version;
     } else if (head.revision > view_->revision()) {
-        fetch_documents(head, reply.object.version);
+        adopt_or_fetch(head, reply.object.version);
     }
 }
 
-void steward_core::fetch_documents(const fleet_head& head, std::int64_t version) {
-    const outcome<shared_view> next = view_after(head);
+void steward_core::adopt_or_fetch(const fleet_head& head, std::int64_t version) {
+    const outcome<shared_view> next = make_view(head);
     if (const shared_view* whole = value_of(next)) {
         adopt(*whole, version);
         return;
     }
-    fetch_for_command(head);
+    fetch_missing_bundles(head);
 }
 
 // Asks for the bundles that \p head names and that are not here; the next read of the head goes on.
-void steward_core::fetch_for_command(const fleet_head& head) {
+void steward_core::fetch_missing_bundles(const fleet_head& head) {
     for (const std::string& id : fleet_view::needed_documents(head)) {
         const std::string hash = head.bundles.at(id).sha256;
-        const auto held = fetched_.find(id);
-        if (held != fetched_.end() && content_hash(held->second) == hash) {
+        const auto held = fetched_bundles_.find(id);
+        if (held != fetched_bundles_.end() && content_hash(held->second) == hash) {
             continue;
         }
         call({"", platform_request::action::get, "bundle/" + id + "/" + hash, 0, {}},
@@ -114,7 +114,7 @@
                  }
                  const auto document = reply.object.value.get<bundle>();
                  if (content_hash(document) == hash) {
-                     fetched_[id] = document;
+                     fetched_bundles_[id] = document;
                      last_head_read_ = {};
                      read_head();
                  }
@@ -122,13 +122,13 @@
     }
 }
 
-outcome<shared_view> steward_core::view_after(const fleet_head& head) const {
+outcome<shared_view> steward_core::make_view(const fleet_head& head) const {
     std::map<std::string, bundle> documents;
     for (const std::string& id : fleet_view::needed_documents(head)) {
-        const auto fetched = fetched_.find(id);
+        const auto fetched = fetched_bundles_.find(id);
         const bundle* held = view_->document(id);
         const std::string& hash = head.bundles.at(id).sha256;
-        if (fetched != fetched_.end() && content_hash(fetched->second) == hash) {
+        if (fetched != fetched_bundles_.end() && content_hash(fetched->second) == hash) {
             documents.emplace(id, fetched->second);
         } else if (held != nullptr && content_hash(*held) == hash) {
             documents.emplace(id, *held);
@@ -154,7 +154,7 @@
     view_ = next;
     head_version_ = platform_version;
     history_.add(view_);
-    fetched_.clear();
+    fetched_bundles_.clear();
     log_info("configuration_adopted",
              {{"revision", view_->revision()},
               {"change", view_->head().changes.empty() ? "" : view_->head().changes[0].what}});
--- a/src/node/steward_rollout.cpp
+++ b/src/node/steward_rollout.cpp
@@ -11,11 +11,11 @@
 namespace {
 
 constexpr duration turn_length = milliseconds(700);
-constexpr duration engines_look_interval = milliseconds(500);
+constexpr duration engine_check_interval = milliseconds(500);
 constexpr duration busy_status_interval = milliseconds(500);
 constexpr duration idle_status_interval = seconds(10);
-constexpr duration order_repeat = seconds(2);
-constexpr duration order_evidence_limit = seconds(2);
+constexpr duration order_repeat_interval = seconds(2);
+constexpr duration max_order_evidence_age = seconds(2);
 
 } // namespace
 
@@ -63,7 +63,7 @@
     return waited >= turn_length * static_cast<int>(rank);
 }
 
-void steward_core::watch_rollout() {
+void steward_core::advance_rollout() {
     step_watch_.observe(view_->head(), now_);
     if (view_->rolling() == nullptr || host_state_ != "serving") {
         return;
@@ -73,16 +73,16 @@
     const bundle_status& status = view_->head().bundles.at(view_->head().rolling);
     const step_action action =
         next_step(*view_->rolling(), status, step_watch_.watched(now_), is_loaded_for_next_step(), known);
-    const std::string wish = !bad.empty() ? "brake" : action == step_action::wait ? "" : "step";
-    const std::string wish_now = wish.empty() ? "" : wish + std::to_string(view_->revision());
-    if (wish_now != wish_) {
-        wish_ = wish_now;
-        wish_since_ = now_;
+    const std::string action_name = !bad.empty() ? "brake" : action == step_action::wait ? "" : "step";
+    const std::string action_key = action_name.empty() ? "" : action_name + std::to_string(view_->revision());
+    if (action_key != pending_action_) {
+        pending_action_ = action_key;
+        pending_action_since_ = now_;
     }
     if (!bad.empty()) {
         apply_brake(bad);
-    } else if (action != step_action::wait && is_my_turn(now_ - wish_since_)) {
-        take_step(action);
+    } else if (action != step_action::wait && is_my_turn(now_ - pending_action_since_)) {
+        start_rollout_command(action);
     }
 }
 
@@ -96,7 +96,7 @@
     for (const auto& [incarnation, link] : peers_) {
         port_.send_to_peer(incarnation, notice);
     }
-    if (has_own_command(command_kind::brake) || !is_my_turn(now_ - wish_since_)) {
+    if (has_own_command(command_kind::brake) || !is_my_turn(now_ - pending_action_since_)) {
         return;
     }
     log_warning("brake", {{"versions", bad}, {"bundle", view_->head().rolling}});
@@ -108,7 +108,7 @@
     start_own_command(command);
 }
 
-void steward_core::take_step(step_action action) {
+void steward_core::start_rollout_command(step_action action) {
     const command_kind kind = action == step_action::step ? command_kind::step : command_kind::finish;
     if (has_own_command(kind)) {
         return;
@@ -126,7 +126,7 @@
 
 // ---- engines ----
 
-bool steward_core::is_mine(const std::string& name) const {
+bool steward_core::is_responsible_for(const std::string& name) const {
     const std::uint64_t own = placement_hash(settings_.incarnation + name);
     return std::none_of(peers_.begin(), peers_.end(), [&](const auto& peer) {
         return is_alive(peer.second, now_) && placement_hash(peer.first + name) < own;
@@ -148,7 +148,7 @@
     return next < steps.size() ? steps[next].share : 1.0;
 }
 
-std::vector<std::string> steward_core::placement_of(const version_name& version) const {
+std::vector<std::string> steward_core::endpoints_to_load(const version_name& version) const {
     const model_entry* model = view_->model(version);
     std::vector<std::string> names;
     for (const endpoint_record& endpoint : endpoints_) {
@@ -171,7 +171,7 @@
         }
     }
     for (const version_name& version : view_->versions_under_rollout()) {
-        const std::vector<std::string> places = placement_of(version);
+        const std::vector<std::string> places = endpoints_to_load(version);
         const bool is_placed = std::find(places.begin(), places.end(), endpoint.name) != places.end();
         if (is_placed && !view_->is_withdrawn(version) && view_->model(version)->pool == endpoint.pool) {
             wanted.push_back(version);
@@ -183,7 +183,7 @@
 bool steward_core::is_loaded_for_next_step() const {
     const std::vector<version_name> versions = view_->versions_under_rollout();
     return std::all_of(versions.begin(), versions.end(), [this](const version_name& version) {
-        const std::vector<std::string> places = placement_of(version);
+        const std::vector<std::string> places = endpoints_to_load(version);
         return !places.empty() && std::all_of(places.begin(), places.end(), [&](const std::string& name) {
             const auto found = loaded_.find(name);
             return found != loaded_.end() &&
@@ -192,19 +192,19 @@
     });
 }
 
-void steward_core::tend_engines() {
+void steward_core::reconcile_engines() {
     if (view_->established() == nullptr || host_state_ != "serving") {
         return;
     }
-    if (now_ - last_engines_look_ < engines_look_interval) {
+    if (now_ - last_engine_check_ < engine_check_interval) {
         return; // What each of thousands of engines should have loaded takes a while to work out.
     }
-    last_engines_look_ = now_;
+    last_engine_check_ = now_;
     const bool is_busy = view_->rolling() != nullptr;
     for (const endpoint_record& endpoint : endpoints_) {
         const pool_entry* pool = view_->pool(endpoint.pool);
         if (pool == nullptr || pool->kind != "engine" || endpoint.state != "live" ||
-            !is_mine(endpoint.name)) {
+            !is_responsible_for(endpoint.name)) {
             own_loaded_.erase(endpoint.name);
             continue;
         }
@@ -239,15 +239,15 @@
     own_loaded_[name] = sorted == wanted_sorted ? wanted : loaded;
     loaded_[name] = loaded;
     const std::optional<time_point> as_of = confirmed_as_of(now);
-    const bool is_sure = as_of && now - *as_of < order_evidence_limit;
+    const bool is_recently_confirmed = as_of && now - *as_of < max_order_evidence_age;
     const auto ordered = ordered_at_.find(name);
-    const bool is_waiting = ordered != ordered_at_.end() && now - ordered->second < order_repeat;
-    if (!is_sure || is_waiting || sorted == wanted_sorted) {
+    const bool is_order_pending = ordered != ordered_at_.end() && now - ordered->second < order_repeat_interval;
+    if (!is_recently_confirmed || is_order_pending || sorted == wanted_sorted) {
         return;
     }
     const auto order = [&](const std::string& action, const version_name& version) {
         ordered_at_[name] = now;
-        numbers_.count("engine_orders");
+        metrics_.count("engine_orders");
         log_info("engine_order", {{"endpoint", name}, {"action", action}, {"version", version}});
         port_.order_engine({name, endpoint->address, action, version, view_->revision()});
     };
--- a/src/programs/laurel_entry.cpp
+++ b/src/programs/laurel_entry.cpp
@@ -154,7 +154,7 @@
     settings.address = FLAGS_advertise.empty() ? FLAGS_listen : FLAGS_advertise;
     settings.domain = FLAGS_domain;
     settings.session_key = FLAGS_session_key;
-    settings.callers_keep_answer = milliseconds(FLAGS_callers_keep_ms);
+    settings.entry_list_cache_time = milliseconds(FLAGS_callers_keep_ms);
     return settings;
 }
 
@@ -508,7 +508,7 @@
     arrived.version_missing = !answer.header("x-version-missing").empty();
     arrived.is_silent = answer.what == http_answer::result::silent;
     const bool is_not_run = !answer.header("x-not-run").empty();
-    arrived.says = statement_of(answer);
+    arrived.statement = statement_of(answer);
     const bool is_service = call.version.empty();
     const bool is_whole_answer = answer.what == http_answer::result::answered;
     const bool is_leaving = is_not_run && !answer.header("x-leaving").empty();
@@ -595,7 +595,7 @@
     hello_message hello{
         "entry", settings_.name, settings_.incarnation, settings_.domain, settings_.address, wall_clock_ms(),
         ""};
-    hello.proof = prove(hello, FLAGS_fleet_key);
+    hello.proof = compute_proof(hello, FLAGS_fleet_key);
     return hello;
 }
 
@@ -615,7 +615,7 @@
     }
     const node_message& message = *value_of(decoded);
     if (const auto* hello = std::get_if<hello_message>(&message)) {
-        if (!is_proven(*hello, FLAGS_fleet_key, wall_clock_ms())) {
+        if (!has_valid_proof(*hello, FLAGS_fleet_key, wall_clock_ms())) {
             log_warning("hello_refused",
                         {{"from", connection->second.address},
                          {"remedy", "give every host the same --fleet_key and a clock within a minute"}});
--- a/src/programs/laurel_steward.cpp
+++ b/src/programs/laurel_steward.cpp
@@ -151,7 +151,7 @@
                         settings_.address,
                         wall_clock_ms(),
                         ""};
-    hello.proof = prove(hello, FLAGS_fleet_key);
+    hello.proof = compute_proof(hello, FLAGS_fleet_key);
     return hello;
 }
 
@@ -203,7 +203,7 @@
 }
 
 void steward_program::on_hello(bool is_outgoing, link_id link, const hello_message& hello) {
-    if (!is_proven(hello, FLAGS_fleet_key, wall_clock_ms())) {
+    if (!has_valid_proof(hello, FLAGS_fleet_key, wall_clock_ms())) {
         log_warning("hello_refused",
                     {{"from", hello.address},
                      {"remedy", "give every host the same --fleet_key and a clock within a minute"}});
--- a/test/node_test.cpp
+++ b/test/node_test.cpp
@@ -76,12 +76,12 @@
 
 TEST(messages, a_hello_without_the_key_or_from_yesterday_is_refused) {
     hello_message hello{"entry", "e", "e#1", "d", "a", 100000, ""};
-    hello.proof = prove(hello, "the fleet key");
-    EXPECT_TRUE(is_proven(hello, "the fleet key", 100500));
-    EXPECT_FALSE(is_proven(hello, "another key", 100500));
-    EXPECT_FALSE(is_proven(hello, "the fleet key", 100000 + 86400000));
+    hello.proof = compute_proof(hello, "the fleet key");
+    EXPECT_TRUE(has_valid_proof(hello, "the fleet key", 100500));
+    EXPECT_FALSE(has_valid_proof(hello, "another key", 100500));
+    EXPECT_FALSE(has_valid_proof(hello, "the fleet key", 100000 + 86400000));
     hello.name = "other";
-    EXPECT_FALSE(is_proven(hello, "the fleet key", 100500));
+    EXPECT_FALSE(has_valid_proof(hello, "the fleet key", 100500));
 }
 
 TEST(config_delta, a_difference_is_small_and_half_a_configuration_is_refused) {
@@ -549,7 +549,7 @@
 }
 
 /** Asks entry after entry, one question each 50 ms, for \p time. */
-void ask_all_the_time(world& simulated, int entries, duration time) {
+void ask_continuously(world& simulated, int entries, duration time) {
     constexpr duration pause = milliseconds(50);
     for (int asked = 0; asked * pause < time; ++asked) {
         simulated.ask(static_cast<std::size_t>(asked % entries), question());
@@ -562,7 +562,7 @@
                                                   [since](time_point at) { return at >= since; }));
 }
 
-fake_endpoint& an_engine(world& simulated) {
+fake_endpoint& first_engine(world& simulated) {
     return **std::find_if(simulated.endpoints.begin(), simulated.endpoints.end(),
                           [](const auto& endpoint) { return endpoint->record.pool == "engines"; });
 }
@@ -574,11 +574,11 @@
     options.engines = 3;
     world simulated{options};
     simulated.start();
-    fake_endpoint& limited = an_engine(simulated);
+    fake_endpoint& limited = first_engine(simulated);
     limited.says.rate_limit = 2.0;
-    ask_all_the_time(simulated, options.entries, seconds(4));
+    ask_continuously(simulated, options.entries, seconds(4));
     const time_point since = simulated.clock.now();
-    ask_all_the_time(simulated, options.entries, seconds(4));
+    ask_continuously(simulated, options.entries, seconds(4));
     EXPECT_LE(arrivals_since(limited, since), most_in_4_s);
     EXPECT_GE(arrivals_since(limited, since), 1U) << "or nobody hears that it is over";
 }
@@ -590,13 +590,13 @@
     options.engines = 3;
     world simulated{options};
     simulated.start();
-    fake_endpoint& resting = an_engine(simulated);
+    fake_endpoint& resting = first_engine(simulated);
     resting.says.back_off = seconds(3);
     while (resting.arrivals.empty()) {
-        ask_all_the_time(simulated, 1, milliseconds(50));
+        ask_continuously(simulated, 1, milliseconds(50));
     }
     const time_point asked_at = resting.arrivals.front();
-    ask_all_the_time(simulated, 1, milliseconds(2800));
+    ask_continuously(simulated, 1, milliseconds(2800));
     EXPECT_LE(arrivals_since(resting, asked_at + milliseconds(500)), most_in_rest);
 }
 
@@ -606,11 +606,11 @@
     options.engines = 3;
     world simulated{options};
     simulated.start();
-    fake_endpoint& leaving = an_engine(simulated);
+    fake_endpoint& leaving = first_engine(simulated);
     leaving.says.is_leaving = true;
-    ask_all_the_time(simulated, 1, seconds(3));
+    ask_continuously(simulated, 1, seconds(3));
     const time_point since = simulated.clock.now();
-    ask_all_the_time(simulated, 1, seconds(3));
+    ask_continuously(simulated, 1, seconds(3));
     EXPECT_EQ(arrivals_since(leaving, since), 0U);
     EXPECT_GE(leaving.arrivals.size(), 1U);
 }
