--- a/src/node/config_delta.cpp
+++ b/src/node/config_delta.cpp
@@ -9,7 +9,7 @@
 constexpr std::size_t max_kept_views = 16;
 
 error refused(const std::string& why) {
-    return {error_kind::conflict, why + "; the sender repeats it whole"};
+    return {error_kind::conflict, why + "; the update is ignored until the sender repeats it"};
 }
 
 } // namespace
@@ -41,7 +41,7 @@
 
 outcome<shared_view> apply_update(const fleet_view& base, const config_update& update) {
     if (update.base_revision != 0 && update.base_revision != base.revision()) {
-        return refused("a difference to revision " + std::to_string(update.base_revision) + ", held is " +
+        return refused("delta against revision " + std::to_string(update.base_revision) + ", but the revision held is " +
                        std::to_string(base.revision()));
     }
     fleet_head head;
--- a/src/node/config_delta.h
+++ b/src/node/config_delta.h
@@ -1,6 +1,6 @@
 /** \file
- * Defines how a configuration travels: as the difference to what the receiver holds, with the bundles it
- * lacks, and whole when the difference is not known any more.
+ * Defines updates of the configuration: a delta against the revision that the receiver holds, with the
+ * bundles that it lacks, or the complete configuration if that revision has left the history.
  */
 #pragma once
 
@@ -10,7 +10,7 @@
 
 namespace laurelhoist {
 
-/** The latest configurations of a steward, to make differences from. */
+/** The latest configurations of a steward, from which deltas are made. */
 class config_history {
 public:
     void add(const shared_view& view);
@@ -22,8 +22,8 @@
 };
 
 /** Applies \p update to \p base, checking each bundle's content against the hash in the head.
- * \return the next configuration, or why it cannot be made (a base that is not held, half a
- * configuration, a wrong hash): then nothing changes, and the sender is told what is held */
+ * \return the next configuration, or an error if the base is not held, a bundle is missing or a hash is
+ * wrong; then nothing changes, and the receiver's next message tells the sender which revision is held */
 outcome<shared_view> apply_update(const fleet_view& base, const config_update& update);
 
 } // namespace laurelhoist
--- a/src/node/entry_admission.cpp
+++ b/src/node/entry_admission.cpp
@@ -1,6 +1,6 @@
 /** \file
- * The part of the entry that admits a request: who asks, what may be used, at which tier it starts, and
- * whether there is room for it.
+ * Admission of requests by the entry: authentication, the versions or the service that may be used, the first
+ * tier, and the limits of the queue.
  */
 #include "node/entry_core.h"
 
@@ -13,7 +13,7 @@
 constexpr int min_retry_after_ms = 50;
 constexpr int max_retry_after_ms = 5000;
 constexpr std::size_t max_idempotency_key_bytes = 256;
-constexpr double queue_budget_share = 0.5; ///< of the latency budget may pass in a queue
+constexpr double queue_budget_share = 0.5; ///< largest share of the latency budget that may pass in a queue
 
 bool contains(const std::vector<std::string>& items, const std::string& item) {
     return std::find(items.begin(), items.end(), item) != items.end();
@@ -102,8 +102,8 @@
     return entry == nullptr ? 1 : entry->weight;
 }
 
-// A request that would wait past its budget is refused at once, with the time to come back: an answer
-// that comes too late costs a slot that an answer in time could have used.
+// A request whose expected wait exceeds its share of the latency budget is refused at once, with a time after
+// which to retry: an answer that comes too late takes a slot from one that would be in time.
 std::optional<error> entry_core::check_queue(const context& request) const {
     const auto queued = team_queued_.find(request.team.name);
     const int waiting = queued == team_queued_.end() ? 0 : queued->second;
@@ -122,7 +122,7 @@
     const int retry_ms = std::clamp(static_cast<int>(wait_ms), min_retry_after_ms, max_retry_after_ms);
     return error{error_kind::queue_full,
                  "team " + request.team.name + " has " + std::to_string(waiting) +
-                     " requests waiting here; come back after the time given, or use another entry host",
+                     " requests waiting here; retry after the given time, or use another entry host",
                  ran_state::no, retry_ms};
 }
 
@@ -144,7 +144,7 @@
         }
     } else if (request_by_key_.count(key) > 0) {
         const error open{error_kind::in_progress,
-                         "a request with this Idempotency-Key is in progress; come back", ran_state::unknown,
+                         "a request with this Idempotency-Key is in progress; retry later", ran_state::unknown,
                          500};
         reply.status = http_status(open.kind);
         reply.body = to_error_body(open, request_by_key_[key]);
--- a/src/node/entry_allowance.cpp
+++ b/src/node/entry_allowance.cpp
@@ -1,4 +1,5 @@
-// How an entry keeps to what endpoints say of themselves. Each entry hears it with its own answers.
+// How an entry applies the rate limits, back-offs and departures that endpoints announce with their answers.
+// Each entry learns them from the answers to its own calls.
 #include "node/entry_core.h"
 
 namespace laurelhoist {
@@ -26,8 +27,8 @@
     }
 }
 
-// The stewards share endpoints out over entries, so that which others use one is not known here, only how
-// many.
+// Stewards assign each entry a subset of the endpoints, so an entry knows how many entries share an endpoint
+// but not which ones.
 void entry_core::update_rate_limit_shares() {
     for (const auto& [pool, sharers] : sharers_) {
         allowance_.limits().set_sharers(pool, sharers);
--- a/src/node/entry_control.cpp
+++ b/src/node/entry_control.cpp
@@ -1,6 +1,6 @@
 /** \file
- * The part of the entry that talks with stewards: configuration, freshness, bills, claims, the fleet, and
- * the planned stop.
+ * Communication of the entry with stewards: configuration, freshness, bills, claims, the fleet, and the
+ * planned stop.
  */
 #include "node/entry_core.h"
 
@@ -16,7 +16,7 @@
 constexpr duration extra_holder_delay = milliseconds(60);
 constexpr int default_retry_after_ms = 500;
 
-// Copies to \p message what differs between \p now and \p sent, and notes it as sent.
+// Copies to \p message the counts that differ between \p now and \p sent, and records them in \p sent.
 template <class Counts>
 void collect_changed(const Counts& now, Counts& sent, Counts& message) {
     for (const auto& [name, counts] : now) {
@@ -82,7 +82,7 @@
 void entry_core::on(const std::string& /*from*/, const entry_confirm& message) {
     const time_point asked_at = from_micros(message.asked_at);
     if (asked_at > now_) {
-        return; // Not an echo of ours: a clock that ran backwards must not make us fresher than we are.
+        return; // Not a time of this clock; accepting it would overstate the freshness.
     }
     freshness_.on_confirmation(asked_at, duration{message.evidence_age}, message.revision);
     metrics_.gauge("freshness_age_ms", to_ms(freshness_.age(now_)));
@@ -101,7 +101,7 @@
 
 void entry_core::on(const std::string& /*from*/, const config_update& message) {
     if (message.revision <= revision() && !is_disabled("only_forward")) {
-        return; // Doubled or late: a node only ever moves to a higher revision.
+        return; // Duplicate or late: a node only moves to a higher revision.
     }
     const outcome<shared_view> next = apply_update(*base_view_, message);
     if (const error* failure = error_of(next)) {
@@ -126,7 +126,7 @@
     update_slot_limits();
     apply_brake_notice();
     last_ask_ = {};
-    ask_stewards(); // Tells at once that the revision is in force here.
+    ask_stewards(); // Reports at once that the revision is in force here.
 }
 
 bool entry_core::is_brake_notice_current() const {
@@ -136,8 +136,8 @@
            rolling->second.epoch == brake_notice_.epoch;
 }
 
-// A brake works before it is written to the platform: the versions of the latest notice count as stopped
-// for as long as the roll-out that it speaks of has not been resumed or ended.
+// A brake takes effect before it is written to the platform: the versions of the latest notice count as
+// stopped until their roll-out is resumed, which begins a new epoch, or ends.
 void entry_core::apply_brake_notice() {
     view_ = base_view_;
     if (is_brake_notice_current()) {
@@ -171,7 +171,7 @@
     apply_brake_notice();
 }
 
-// Requests that wait, run or are being rated on a version that was just stopped must not reach a caller.
+// No answer of a version that was just stopped may reach a caller, so its open requests are rerouted.
 void entry_core::reroute_open_requests() {
     std::vector<std::string> ids;
     for (const auto& [id, request] : requests_) {
@@ -265,8 +265,9 @@
 
 // ---- bills ----
 
-// Two holders in different failure domains are enough; a third is asked only for what one of them does not
-// acknowledge. Sending every record to every steward would double the bytes of each request.
+// Each bill goes to two stewards in different failure domains; the others get only what these have not
+// acknowledged after \c extra_holder_delay. Sending every record to every steward would double the bytes of
+// each request.
 void entry_core::send_bills() {
     if (outbox_.size() == 0) {
         return;
@@ -315,13 +316,13 @@
         request.holds_claim = true;
         fire(message.operation, "claimed");
     } else if (message.result == "taken") {
-        request.claim_attempt.clear(); // Another's claim: nothing of ours to void.
+        request.claim_attempt.clear(); // The claim of another attempt; there is nothing to void.
         request.taken_claim = message.claim;
         fire(message.operation, "claim_taken");
     } else {
         request.refusal =
             error{error_kind::platform_unavailable,
-                  "the platform cannot take the claim that keeps this call from running twice; come back",
+                  "the platform cannot store the claim that keeps this call from running twice; retry later",
                   ran_state::no, default_retry_after_ms};
         fire(message.operation, "claim_failed");
     }
@@ -395,9 +396,9 @@
     ask_stewards();
 }
 
-// Callers keep the list of entries for a while, so a host that is leaving goes on accepting until nobody
-// can hold its address any more; then it refuses, finishes what runs and hands over its records. No timer
-// ends a request: a stop that cuts answers is what this is against.
+// Callers cache the list of entries, so a leaving host accepts requests until every cached list has expired;
+// then it refuses new ones, finishes the open ones and hands over its bills. No timer ends an open request: a
+// planned stop must not cut off an answer.
 void entry_core::advance_stop() {
     if (host_state_ == "leaving" && now_ - stop_began_ >= settings_.entry_list_cache_time) {
         host_state_ = *value_of(host_chart_.next(host_state_, "unadvertised"));
@@ -424,7 +425,7 @@
     return std::clamp<std::size_t>(domains.size(), 1, wanted_bill_copies);
 }
 
-// ---- messages that an entry never gets from a steward ----
+// ---- messages that an entry never receives from a steward ----
 
 void entry_core::on(const std::string& /*from*/, const hello_message& /*message*/) {}
 void entry_core::on(const std::string& /*from*/, const entry_ask& /*message*/) {}
--- a/src/node/entry_core.cpp
+++ b/src/node/entry_core.cpp
@@ -1,5 +1,5 @@
 /** \file
- * The part of the entry that carries a request through its chart: queues, calls, retries, steps up.
+ * Progress of an admitted request in the entry: queues, calls, retries, ratings and steps up.
  */
 #include "node/entry_core.h"
 
@@ -18,10 +18,10 @@
 constexpr duration reroute_delay = milliseconds(500);
 constexpr duration no_capacity_delay = seconds(2);
 constexpr duration not_fresh_delay = seconds(1);
-/// A request may wait for an endpoint whose limit or rest lets it take another one within this time.
+/// A request may wait for an endpoint whose rate limit or back-off allows another one within this time.
 constexpr duration max_allowance_wait = milliseconds(500);
 constexpr int default_retry_after_ms = 500;
-constexpr double step_up_time_factor = 1.2; ///< of the next step's expected time must be left
+constexpr double step_up_time_factor = 1.2; ///< times the next step's latency must be left
 
 } // namespace
 
@@ -80,7 +80,7 @@
 
 // ---- the chart's events ----
 
-// The id is taken by value: the event may end the request, and with it the id it was named by.
+// The id is passed by value: the event may end the request and destroy the string that holds its id.
 // NOLINTNEXTLINE(performance-unnecessary-value-param)
 void entry_core::fire(std::string request_id, const std::string& event) {
     const auto found = requests_.find(request_id);
@@ -128,8 +128,8 @@
     return request.attempts < max_sends_not_run && now_ < request.deadline;
 }
 
-// A call whose outcome is not known may have run. Sending it again would run it twice, which a caller
-// sees as a doubled booking; so only an idempotent request is ever retried after a failure.
+// A call whose outcome is unknown may have run, and repeating it may run it twice (a duplicate booking, for
+// example). Only idempotent requests are retried after a failure.
 bool entry_core::may_retry(const context& request) const {
     const bool is_safe = request.is_idempotent || is_disabled("retry_only_idempotent");
     return is_safe && request.attempts < max_call_attempts && now_ < request.deadline;
@@ -143,7 +143,7 @@
     return request.is_idempotent;
 }
 
-// A whole answer below the score is worth more to the caller than none.
+// A whole answer below the required score is worth more to the caller than none.
 bool entry_core::has_earlier_answer(const context& request) const {
     return request.earlier_answer && is_usable(request.team.name, request.earlier_answer->version);
 }
@@ -162,7 +162,7 @@
     if (score) {
         return *score < request.team.quality.score;
     }
-    // The rating service is dark: step up once if the version alone is not trusted to meet the target.
+    // There is no rating: step up once if the version alone is not expected to meet the target.
     const model_entry* model = view_->model(request.version());
     const double chance = quality_.chance(subject_of(request, request.version()), model->prior_quality);
     return !request.stepped_without_rating && chance < request.team.quality.share;
@@ -228,7 +228,7 @@
         const team_entry* entry = find_team(*view_->established(), team);
         return entry == nullptr || team_in_flight_[team] < entry->max_in_flight;
     };
-    // Look before taking: a request taken from the queue without an endpoint would lose its turn.
+    // Check for an endpoint first: a request taken from the queue without one would lose its turn.
     const bool is_service = queue_name.rfind("service:", 0) == 0;
     endpoint_wish any;
     any.version = is_service ? "" : queue_name;
@@ -251,7 +251,7 @@
         reroute_queued(request);
         return true;
     }
-    // What cannot be done in time any more would only take a slot from what can.
+    // A request that cannot be answered in time any more would take a slot from one that can.
     const auto typical = std::chrono::duration_cast<duration>(
         std::chrono::duration<double, std::milli>(endpoints_.typical_ms(request.pool)));
     if (now_ + typical > request.deadline) {
@@ -275,8 +275,8 @@
 
 // ---- claims ----
 
-// Two callers, or one that retries at another entry, may send the same booking. The claim is a
-// conditional create in the platform: whoever created it may send, everybody else gets the kept answer.
+// Two callers, or one that retries at another entry, may send the same booking. The claim is a conditional
+// create in the platform: only the attempt that created it may send the request.
 void entry_core::ask_claim(context& request) {
     if (request.claim_attempt.empty()) {
         request.claim_attempt = random_.identifier("attempt-");
@@ -317,8 +317,8 @@
 
 // ---- calls ----
 
-// The last look before work leaves this host. The process may have been paused since the request was
-// admitted, so the age of the configuration is read again here and not remembered from before.
+// Checked last before a request leaves this host. The process may have been paused since the request was
+// admitted, so the age of the configuration is evaluated again.
 bool entry_core::is_fresh() const {
     return is_disabled("freshness") || freshness_.is_fresh(now_, base_view_->revision());
 }
@@ -423,7 +423,7 @@
     }
     context& request = requests_.at(owner->second);
     if (index != request.parts_streamed && !is_disabled("stream_order")) {
-        return; // A doubled or reordered part: the stream is resumed from the offset that is missing.
+        return; // A duplicate or reordered part; the stream is resumed at the part that is missing.
     }
     if (request.parts_streamed == 0) {
         metrics_.time("first_token", now - request.arrived);
@@ -437,8 +437,8 @@
     now_ = now;
     const auto owner = request_by_call_.find(call_id);
     if (owner == request_by_call_.end()) {
-        // The call was given up: its request has been answered or runs elsewhere. Dropping the late
-        // answer by the call's id is what keeps answers from reaching another request or coming twice.
+        // The call was abandoned: its request has been answered or runs elsewhere. Dropping late answers by
+        // the id of the call prevents answers to the wrong request and duplicate answers.
         metrics_.count("late_answers_dropped");
         return;
     }
@@ -453,8 +453,8 @@
     const bool is_named =
         request.is_service() || answer.version == request.version() || is_disabled("named_version");
     if (is_answer && (!is_own || !is_named)) {
-        // An engine that obeyed an old order, or mixed up its streams, says so itself by the name or the
-        // id in its answer. Such an answer never reaches the caller.
+        // An engine that followed an outdated order reports another version, and one that mixed up its
+        // streams echoes another request id. Such an answer never reaches the caller.
         metrics_.count("wrong_answers_dropped");
         log_warning("wrong_answer_dropped", {{"request", id},
                                              {"endpoint", endpoint},
@@ -469,7 +469,7 @@
     const bool is_certain_not_run = result == call_result::refused_not_run || result == call_result::leaving;
     if (answer.version_missing && !request.is_service()) {
         endpoints_.on_version_missing(endpoint, request.version(), now);
-        result = call_result::cancelled; // Not loaded is no fault of the endpoint's.
+        result = call_result::cancelled; // A version that is not loaded is no failure of the endpoint.
     }
     if (result == call_result::leaving) {
         announce_leaving_endpoint(endpoint);
@@ -477,11 +477,11 @@
     if (result == call_result::failed) {
         record_broken_call(request, answer);
     }
-    // What an endpoint asks for is no failure of it.
+    // A refusal that asks for a back-off is no failure of the endpoint.
     const bool asks_for_rest = result == call_result::refused_not_run && answer.statement.back_off;
     end_call(request, asks_for_rest ? call_result::cancelled : result);
     if (is_certain_not_run || answer.version_missing) {
-        // "Not run" may be said to the caller only if no earlier call of this request can have run.
+        // "Not run" may be reported to the caller only if no earlier call of this request may have run.
         request.may_have_run = request.earlier_may_have_run;
         request.avoided.insert(endpoint);
         fire(id, "not_run");
@@ -529,8 +529,9 @@
     request.answer = arrived;
 }
 
-// A dark rating service would cost every answer its whole time limit, twice after a step up. After a few
-// missing ratings answers go on without; one is sent beside now and then, to see whether it is back.
+// While the rating service is down, each answer would wait for the full rating timeout, twice after a step
+// up. After \ref max_missed_ratings missing ratings in a row, answers are released unrated, and one is rated
+// in the background at intervals to detect that the service is back.
 void entry_core::ask_rating(context& request) {
     if (is_rater_unavailable()) {
         metrics_.count("ratings_skipped");
@@ -538,7 +539,7 @@
         fire(request.id, "rated");
         return;
     }
-    // A rating still under way is of an answer that was dropped; it must not be taken for this one's.
+    // A rating still in progress belongs to a discarded answer and must not be applied to this one.
     if (!is_disabled("drop_stale_rating")) {
         request_by_call_.erase(request.rating_id);
     }
@@ -595,15 +596,15 @@
     }
     if (!retries_.try_take()) {
         request.refusal = error{error_kind::endpoint_failed,
-                                "the call failed and too many others are being retried; come back",
+                                "the call failed and too many others are being retried; retry later",
                                 ran_state::unknown, default_retry_after_ms};
         push_to_queue(request, true);
         fire(request.id, "refused");
         return;
     }
     metrics_.count("retries");
-    // A silent connection: the engine may still be producing this stream, so ask it once to go on from
-    // the part that is missing over a new connection, before starting anew elsewhere.
+    // After a silent connection the engine may still be producing this stream: it is asked once, over a new
+    // connection, to continue at the missing part, before the stream is restarted elsewhere.
     const bool may_resume = request.incoming.stream && request.parts_streamed > 0 && request.resumes == 0;
     push_to_queue(request, true);
     if (may_resume && endpoints_.takes_work(request.endpoint.name) && is_fresh()) {
@@ -640,7 +641,7 @@
     push_to_queue(request, true);
 }
 
-// ---- time ----
+// ---- timers ----
 
 void entry_core::check_timeouts(context& request) {
     const bool is_over = now_ >= request.deadline;
@@ -649,7 +650,7 @@
         return;
     }
     if (request.state == "claiming" && now_ - request.claim_sent >= claim_resend_interval) {
-        ask_claim(request); // The same attempt through another steward: creating it twice changes nothing.
+        ask_claim(request); // The same attempt, through any steward: creating its claim twice is harmless.
     }
     if (request.state == "billing") {
         check_bill_copies(request);
@@ -658,8 +659,8 @@
     }
 }
 
-// A request that waits for something that will not come: an empty pool, a version loaded nowhere, a host
-// that is cut off. It takes another allowed way, or is refused at once with the truth.
+// Handles a queued request that cannot start: its pool is empty, its version is loaded nowhere, or this host
+// cannot confirm its configuration. The request moves to another allowed version or is refused.
 void entry_core::reroute_or_refuse(context& request) {
     const duration waited = now_ - request.queued_since;
     if (!is_fresh() && waited >= not_fresh_delay) {
--- a/src/node/entry_core.h
+++ b/src/node/entry_core.h
@@ -1,6 +1,7 @@
 /** \file
  * Defines the entry: every decision about a caller's request from its arrival to its one answer, as a
- * state machine without I/O. Events come in as method calls with the time; acts go out through the port.
+ * state machine without I/O. Events arrive as method calls with the current time; effects go out through the
+ * port.
  */
 #pragma once
 
@@ -14,27 +15,27 @@
 
 namespace laurelhoist {
 
-/** What an entry is told at its start. */
+/** The settings of an entry, fixed at its start. */
 struct entry_settings {
     std::string name;
     std::string incarnation;
-    std::string address; ///< where callers reach it
+    std::string address; ///< address that callers connect to
     std::string domain;
     std::string session_key;                   ///< signs session tokens; the same on every entry
-    duration entry_list_cache_time = seconds(5); ///< how long callers keep the answer of /v1/entries
+    duration entry_list_cache_time = seconds(5); ///< how long callers may cache the response of /v1/entries
 };
 
-/** The charts that an entry interprets. */
+/** The state charts that an entry interprets. */
 struct entry_charts {
     chart request;
     chart endpoint;
     chart host;
 };
 
-/** How tiers are chosen; the experiment program compares them. */
+/** How tiers are chosen. \c ours is the policy of production; laurel_bench compares the others with it. */
 enum class tier_policy { ours, always_cheap, always_costly, fixed_ladder };
 
-/** Choices that the experiment program varies; the defaults are what the product does. */
+/** Policies that laurel_bench varies; the defaults are those of production. */
 struct entry_policies {
     tier_policy tier = tier_policy::ours;
     endpoint_policy endpoint = endpoint_policy::ours;
@@ -50,14 +51,14 @@
     void on_caller_gone(caller_handle caller, time_point now);
     /** \return the entries that the caller should use, best first. */
     std::vector<entry_choice> entries_for(const std::string& session) const;
-    /** Answers "what became of my request": at once if this entry knows, else through a steward. */
+/** Reports the state of an earlier request: at once if this entry knows it, else with a steward's answer. */
     void on_lookup(caller_handle caller, const std::string& team_key, const std::string& key, time_point now);
 
     // Endpoints and the rating service.
     void on_endpoint_answer(const std::string& call_id, const endpoint_answer& answer, time_point now);
     /** \param index number of the part within the whole answer, from 0 */
     void on_endpoint_part(const std::string& call_id, int index, const std::string& text, time_point now);
-    /** \param score nothing if the rating service did not answer in time */
+/** \param score no value if the rating service did not answer in time */
     void on_rating(const std::string& call_id, std::optional<double> score, time_point now);
 
     // Stewards, by incarnation.
@@ -70,7 +71,7 @@
     /** Begins a planned stop. */
     void begin_stop(time_point now);
 
-    /** \return whether the planned stop is complete: nothing runs and every record is handed over. */
+    /** \return whether the planned stop is complete: no request is open and every bill has its copies. */
     bool is_stopped() const { return host_state_ == "stopped"; }
     bool is_ready(time_point now) const;
     std::size_t open_requests() const { return requests_.size(); }
@@ -121,12 +122,12 @@
     void dispatch(context& request);
     void ask_rating(context& request);
     void retry(context& request);
-    /** Whether an endpoint may get a request of this entry within \p patience, by what it says of itself. */
+    /** \return a filter for the endpoints that may get a request of this entry within \p patience, by the
+     * rate limits, back-offs and departures that they have announced. */
     endpoint_filter allowed_within(duration patience) const;
     void apply_statement(const context& request, const endpoint_statement& statement);
     void update_rate_limit_shares();
-    /** \return after what time an endpoint of the request's pool that is barred now may get it; 0: not known
-     */
+    /** \return the time in ms until a barred endpoint of the request's pool may be used; 0: unknown */
     int retry_after_ms(const context& request) const;
     static request_digest quarantine_key(const context& request);
     std::optional<error> check_quarantine(const context& request) const;
@@ -233,8 +234,8 @@
 
     std::string host_state_;
     time_point stop_began_;
-    shared_view base_view_; ///< the configuration as accepted
-    shared_view view_;      ///< the same with the versions of a brake notice stopped
+    shared_view base_view_; ///< the accepted configuration
+    shared_view view_; ///< \ref base_view_ with the versions of the brake notice stopped
     freshness freshness_;
     std::map<std::string, steward_link> links_;
     std::vector<steward_record> stewards_;
@@ -264,14 +265,14 @@
     std::list<bill_key> reply_cache_order_;
     std::map<std::string, caller_handle> lookups_;
     bill_outbox outbox_;
-    std::map<bill_key, std::string> request_by_bill_; ///< requests whose answers wait for their bills
+    std::map<bill_key, std::string> request_by_bill_; ///< requests that wait for copies of their bills
     bool is_dispatching_ = false;
     static constexpr int max_missed_ratings = 3;
-    int missed_ratings_ = 0; ///< since the last rating that came
+    int missed_ratings_ = 0; ///< ratings that failed to arrive since the last one that did
     time_point next_rater_probe_;
 };
 
-/** Lower-case hexadecimal SHA-256 under which a team's key is kept. */
+/** \return the lower-case hexadecimal SHA-256 of \p key; configurations hold this hash, never the key. */
 std::string team_key_hash(const std::string& key);
 
 } // namespace laurelhoist
--- a/src/node/entry_port.h
+++ b/src/node/entry_port.h
@@ -1,6 +1,7 @@
 /** \file
- * Defines how an entry's decisions reach the world. The program turns these into sockets; tests and long
- * random runs into events of a virtual clock. No method may call back into the core before it returns.
+ * Defines the interface through which an entry acts. The program implements it with sockets; tests and the
+ * simulation implement it with events of a virtual clock. No method may call back into the core before it
+ * returns.
  */
 #pragma once
 
@@ -10,26 +11,26 @@
 
 namespace laurelhoist {
 
-/** Names a caller's open connection. */
+/** Identifies a caller's open connection. */
 using caller_handle = std::uint64_t;
 
-/** What a caller asks. */
+/** A request as a caller sent it. */
 struct caller_request {
     caller_handle caller = 0;
     std::string team_key;
     std::string service;         ///< empty for a model request
-    std::string path;            ///< of the service call
-    std::string kind;            ///< the caller's word for what sort of request it is
+    std::string path; ///< path of the service call
+    std::string kind; ///< the caller's label for this sort of request; quality is learned per label
     std::string idempotency_key; ///< empty: none
-    std::string session;         ///< a token of ours or the caller's own id; may be empty
+    std::string session; ///< token from an earlier reply, or the caller's own id; may be empty
     std::string prefix;          ///< identifies the start of the prompt, for the prefix cache
     bool stream = false;
     json body;
     int expected_tokens = 200;
 };
 
-/** One request of a recorded trace (docs/INTERFACES.md): what the decisions see of it, without its text
- * and without the key. */
+/** One request of a recorded trace (docs/INTERFACES.md): the properties that decisions depend on, without the
+ * prompt and the team's key. */
 struct trace_line {
     std::int64_t at_us = 0; ///< since the beginning of the trace
     std::string team;
@@ -47,37 +48,37 @@
     std::string request_id;
     endpoint_record endpoint;
     std::string version; ///< model@version, empty for services
-    std::string path;    ///< of a service call
+    std::string path; ///< path of a service call
     json body;
     bool stream = false;
     bool is_idempotent = true;
-    int resume_from = 0; ///< parts of the stream that have arrived
-    int priority = 0;    ///< larger is more urgent
-    duration timeout{};  ///< for the whole answer, or between two parts of a stream
+    int resume_from = 0; ///< number of stream parts that have arrived; the answer continues after them
+    int priority = 0; ///< a larger number is more urgent
+    duration timeout{}; ///< for the whole answer, or of a stream for each gap between two parts
 };
 
 /** How a call ended. */
 struct endpoint_answer {
     call_result result = call_result::failed;
-    std::string request_id; ///< as the endpoint echoes it
-    std::string version;    ///< the model@version that the engine itself names
+    std::string request_id; ///< request id that the endpoint echoes
+    std::string version; ///< model@version that the engine reports
     bool version_missing = false;
-    bool is_silent = false; ///< nothing came for the call's timeout
-    json body;              ///< of a service
-    int status = 0;         ///< of a service
+    bool is_silent = false; ///< nothing arrived within the call's timeout
+    json body; ///< response body of a service
+    int status = 0; ///< HTTP status; 0 if none arrived
     std::string text;
     std::int64_t tokens = 0;
     load_report report;
     endpoint_statement statement;
 };
 
-/** What a caller gets, whole. */
+/** The complete reply to a caller. */
 struct caller_reply {
     caller_handle caller = 0;
     int status = 200;
     json body;
     std::string request_id;
-    std::string session; ///< token to return
+    std::string session; ///< session token that the caller sends with its next request
     std::string version;
     std::string moved_from; ///< the pinned version that may no longer be used, if the session was moved
     int tier = -1;
@@ -90,10 +91,10 @@
     kind what = kind::text;
     caller_handle caller = 0;
     std::string text;
-    caller_reply summary; ///< with the first part and the end
+    caller_reply summary; ///< metadata of the reply; with the last part also its status and body
 };
 
-/** An answer to be rated. */
+/** An answer to rate. */
 struct rating_request {
     std::string call_id;
     std::string request_id;
--- a/src/node/entry_quarantine.cpp
+++ b/src/node/entry_quarantine.cpp
@@ -1,5 +1,5 @@
-// How an entry keeps off requests under which endpoints end. Each entry counts for itself: on this interface
-// a caller's session stays with one entry as long as that lives.
+// How an entry refuses requests that terminate the endpoints that run them. Each entry counts for itself,
+// because on this interface a caller's session stays with one entry while that entry runs.
 #include "node/entry_core.h"
 
 namespace laurelhoist {
@@ -13,13 +13,13 @@
         return std::nullopt;
     }
     return error{error_kind::endpoint_failed,
-                 "each endpoint that began to run this request ended; do not send it again as it is",
+                 "every endpoint that began to run this request terminated; do not send it again unchanged",
                  request.may_have_run ? ran_state::unknown : ran_state::no, 0};
 }
 
-// Against a request that ends each endpoint that begins to run it: the answers of all others there are lost
-// with its own, and the caller asks again. Counted where the connection broke before anything came of the
-// answer.
+// Guards against a request that terminates each endpoint that begins to run it: every time, the answers of
+// all other requests there are lost too, and the caller repeats the request. Counts the calls whose
+// connection broke before any part of the answer arrived.
 void entry_core::record_broken_call(const context& request, const endpoint_answer& answer) {
     const bool came_to_nothing = answer.status == 0 && request.parts_streamed == 0 && answer.text.empty();
     if (answer.is_silent || !came_to_nothing) {
--- a/src/node/entry_replies.cpp
+++ b/src/node/entry_replies.cpp
@@ -1,5 +1,5 @@
 /** \file
- * The part of the entry that ends a request: bill, release, refusal.
+ * The end of a request in the entry: billing, release and refusal.
  */
 #include "node/entry_core.h"
 
@@ -66,8 +66,8 @@
     }
 }
 
-// A version that was stopped while its answer was under way must not reach the caller by it. From here on
-// the answer is being paid for, and is released.
+// An answer from a version that was stopped while the answer was produced must not reach the caller. This is
+// the last check: once billing has begun, the answer is released.
 void entry_core::check_version_not_stopped(const context& request) const {
     const bool may_finish =
         request.is_service() || (request.incoming.stream && request.team.on_withdrawal == "finish");
@@ -81,8 +81,9 @@
     bill(request);
 }
 
-// An answer is released when its bill would survive the loss of any one failure domain. With one steward
-// left, its copy and this entry's own are two; with none, the answer is held: never run unbilled.
+// An answer is released when its bill would survive the loss of any one failure domain. After
+// \c degraded_billing_wait a copy at one steward is enough, since this entry holds a second one. Without any,
+// the answer is held back: nothing is released unbilled.
 void entry_core::check_bill_copies(context& request) {
     const std::size_t copies = outbox_.copies({request.team.name, request.bill_id});
     const bool is_degraded = now_ - request.billing_since >= degraded_billing_wait;
@@ -95,7 +96,7 @@
 void entry_core::fail_unbilled(context& request) {
     outbox_.on_drained({request.team.name, request.bill_id});
     send_error(request, {error_kind::ledger_unavailable,
-                         "no steward could hold the bill, so the answer was not released; come back",
+                         "no steward could hold the bill, so the answer was not released; retry later",
                          ran_state::yes, default_retry_after_ms});
 }
 
@@ -133,8 +134,8 @@
         const version_name version = request.answer ? request.answer->version : request.version();
         reply.version = version;
         reply.tier = request.answer ? request.answer->tier : static_cast<int>(request.tier);
-        // The whole ladder is pinned, not only the model that answered: two first requests of a session
-        // under way at once would else return tokens of which the later forgets what the earlier pinned.
+        // Pins the whole ladder and not only the model that answered: otherwise two concurrent first requests
+        // of a session return tokens with different pins, and the later token drops the earlier pin.
         for (const version_name& step : request.ladder) {
             pins.version_by_model[model_of(step)] = version_of(step);
         }
@@ -208,7 +209,7 @@
     }
 }
 
-// A stream has been sent before it could be rated; its rating teaches the next choice and the brake.
+// A stream is sent before it can be rated; its rating still updates the quality estimates and the brake.
 void entry_core::rate_in_background(const context& request) {
     constexpr std::size_t max_background_ratings = 500;
     const bool is_probe_due = now_ >= next_rater_probe_;
@@ -250,10 +251,10 @@
 
 error entry_core::refusal_of(const context& request) const {
     const error late{error_kind::deadline_exceeded,
-                     "the latency budget of the team ran out before a slot was free; come back",
+                     "the latency budget of the team ran out before a slot was free; retry later",
                      ran_state::no, default_retry_after_ms};
     const error no_taker{error_kind::no_capacity,
-                         "no endpoint of pool \"" + request.pool + "\" takes work now; come back",
+                         "no endpoint of pool \"" + request.pool + "\" takes work now; retry later",
                          ran_state::no, default_retry_after_ms};
     error refusal = request.refusal.value_or(now_ >= request.deadline ? late : no_taker);
     if (request.may_have_run && !is_disabled("not_run_truth")) {
@@ -301,8 +302,8 @@
                                                    : error_kind::endpoint_failed;
     const std::string message =
         request.is_idempotent
-            ? "no endpoint gave a whole answer in time; it is safe to send the request again"
-            : "the call was sent and its answer was lost; look up /v1/requests before acting again";
+            ? "no endpoint gave a complete answer in time; it is safe to send the request again"
+            : "the call was sent and its answer was lost; check /v1/requests before sending it again";
     send_error(request, {kind, message, ran_state::unknown, request.is_idempotent ? default_retry_after_ms : 0});
 }
 
--- a/src/node/messages.cpp
+++ b/src/node/messages.cpp
@@ -29,7 +29,7 @@
 
 constexpr auto decoders = make_decoders(std::make_index_sequence<std::variant_size_v<node_message>>{});
 
-// What a stranger sends may not even be UTF-8; quoting it must not throw.
+// Input from an unauthenticated peer may not be valid UTF-8; quoting it in an error must not throw.
 std::string quoted(const json& part) {
     return part.dump(-1, ' ', false, json::error_handler_t::replace);
 }
@@ -50,7 +50,7 @@
 
 namespace {
 
-// The library throws for some malformed lengths even when told not to.
+// nlohmann::json throws for some malformed lengths even with exceptions disabled.
 json read_cbor(const std::string& bytes) {
     try {
         return json::from_cbor(bytes, true, false);
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -1,6 +1,6 @@
 /** \file
- * The one public header of the node library: the decisions of an entry and of a steward as state machines
- * that take events and act through a port, and the messages between them.
+ * The public header of the node library: the entry and the steward as state machines that receive events and
+ * act through ports, and the messages between them.
  */
 #pragma once
 
--- a/src/node/request_context.h
+++ b/src/node/request_context.h
@@ -1,6 +1,5 @@
 /** \file
- * Defines what an entry holds of one open request. The request's chart (charts/request.scxml) says what may
- * happen to it next.
+ * Defines the state of one open request in an entry. Its transitions are in charts/request.scxml.
  */
 #pragma once
 
@@ -12,20 +11,20 @@
 struct pending_answer {
     std::string text;
     version_name version;
-    json body; ///< of a service
+    json body; ///< response body of a service
     int status = 200;
     int tier = -1;
     std::int64_t tokens = 0;
     std::optional<double> score;
 };
 
-/** One open request. Immutable once admitted, but for what its events change. */
+/** One open request. */
 struct request_context {
     std::string state;
 
-    // What was asked.
-    std::string id;      ///< made by the entry, new for each call of a caller
-    std::string bill_id; ///< the caller's key if it sent one, else \c id
+    // The request as admitted. Only \c pool changes later, with the version that is chosen.
+    std::string id; ///< created by the entry for each call of a caller
+    std::string bill_id; ///< the caller's idempotency key if it sent one, else \c id
     caller_request incoming;
     team_entry team;
     session_pins pins;
@@ -35,7 +34,7 @@
     time_point arrived;
     time_point deadline;
 
-    // Where it stands.
+    // Progress.
     std::vector<version_name> ladder; ///< versions that it may use now, from cheap to costly
     std::size_t tier = 0;
     bool has_stepped_up = false;
@@ -46,7 +45,7 @@
     time_point claim_sent;
     int attempts = 0;
     int resumes = 0;
-    std::set<std::string> avoided;
+    std::set<std::string> avoided; ///< endpoints that have refused or failed it; cleared by a step up
     bool is_queued = false;
     time_point queued_since;
 
@@ -54,16 +53,16 @@
     std::string call_id;
     endpoint_record endpoint;
     time_point call_started;
-    std::optional<version_name> pin_at_dispatch; ///< the version that the session was pinned to
+    std::optional<version_name> pin_at_dispatch; ///< the version that the session was pinned to at dispatch
 
-    // What has happened.
-    bool may_have_run = false;         ///< a call was sent and its "not run" is not certain
-    bool earlier_may_have_run = false; ///< the same before the call in progress
+    // Results so far.
+    bool may_have_run = false; ///< a call that was sent may have run
+    bool earlier_may_have_run = false; ///< \c may_have_run before the call in progress
     int parts_streamed = 0;
     int resume_from = 0;
     std::int64_t cost_micro = 0;
-    std::optional<pending_answer> answer;  ///< the latest
-    std::optional<pending_answer> earlier_answer; ///< the best rated one before it
+    std::optional<pending_answer> answer; ///< the latest whole answer
+    std::optional<pending_answer> earlier_answer; ///< the best rated answer before \c answer
     std::string rating_id;
     std::string moved_from;
     time_point billing_since;
@@ -71,7 +70,7 @@
 
     const version_name& version() const { return ladder[tier]; }
     bool is_service() const { return !incoming.service.empty(); }
-    /** The lane it waits in: requests of one lane are interchangeable for an endpoint. */
+    /** \return the name of its queue: the same endpoints can serve all requests of one queue. */
     std::string queue_name() const { return is_service() ? "service:" + pool : version(); }
 };
 
--- a/src/node/steward_commands.cpp
+++ b/src/node/steward_commands.cpp
@@ -1,11 +1,11 @@
 /** \file
- * The part of the steward that changes the fleet head: one command at a time, each a conditional update
- * whose lost answer is settled by reading back.
+ * Changes of the fleet head by the steward: one command at a time, each a conditional update. If the answer
+ * to an update is lost, the head is read back to learn whether it took effect.
  *
- * Every round of a command begins with a read of the head. If the head already remembers the command's
- * nonce, an earlier write took effect and the command is done; if not, the write is made (again) against
- * the version just read. A write that is still under way somewhere names an older version and can no
- * longer take effect once another has, so the same change is never made twice.
+ * Every round of a command begins with a read of the head. If the head's list of changes has the command's
+ * nonce, an earlier write took effect and the command is done; if not, the write is sent (again) against the
+ * version just read. A write that is still in flight names an older version and cannot take effect once
+ * another one has, so no change is made twice.
  */
 #include "node/steward_core.h"
 
@@ -63,7 +63,7 @@
             "the platform gave no answer to the write; it may have taken effect: see laurelctl status",
             ran_state::unknown, 1000};
         const error unavailable{error_kind::platform_unavailable,
-                         "the platform does not answer; nothing was changed; come back", ran_state::no, 1000};
+                         "the platform does not answer; nothing was changed; retry later", ran_state::no, 1000};
         finish_command(pending.may_have_taken_effect ? unknown : unavailable);
         return;
     }
@@ -82,7 +82,7 @@
          [this](const platform_reply& reply) {
              pending_command& front = commands_.front();
              front.is_awaiting_platform = false;
-             // A conflict is the same content under its own hash: an earlier try that took effect.
+             // A conflict means that an earlier try stored the same content, since the key has its hash.
              const bool is_stored =
                  reply.what == platform_reply::result::ok || reply.what == platform_reply::result::conflict;
              if (is_stored) {
@@ -171,8 +171,9 @@
     }
 }
 
-// "Accepted" means that no steward can confirm an older revision any more, even with the platform dark:
-// any majority that it could ask shares a steward with the majority that holds this one.
+// A change is accepted once no steward can confirm an older revision any more, even while the platform is
+// unavailable: any majority that a steward could ask shares a steward with the majority that holds the
+// change.
 void steward_core::check_replication() {
     if (commands_.empty() || commands_.front().phase != command_phase::replicate) {
         return;
--- a/src/node/steward_core.cpp
+++ b/src/node/steward_core.cpp
@@ -1,5 +1,5 @@
 /** \file
- * The part of the steward that dispatches events to its parts.
+ * Dispatch of events to the parts of the steward.
  */
 #include "node/steward_core.h"
 
--- a/src/node/steward_core.h
+++ b/src/node/steward_core.h
@@ -1,6 +1,7 @@
 /** \file
- * Defines the steward: everything shared or lasting, as a state machine without I/O. Any steward may do
- * any of it at any time; what keeps that safe are conditional updates of the platform, never a role.
+ * Defines the steward, which manages all shared or persistent state, as a state machine without I/O. Stewards
+ * have no leader: any of them may do any of the work at any time, and conditional updates of the platform
+ * keep that safe.
  */
 #pragma once
 
@@ -11,13 +12,13 @@
 
 namespace laurelhoist {
 
-/** What a steward is told at its start. */
+/** The settings of a steward, fixed at its start. */
 struct steward_settings {
     std::string name;
     std::string incarnation;
-    std::string address; ///< where entries and peers reach it
+    std::string address; ///< address that entries and peers connect to
     std::string domain;
-    std::size_t endpoint_subset = 24; ///< endpoints of a pool that one entry uses
+    std::size_t endpoint_subset = 24; ///< number of endpoints of a pool that one entry uses
 };
 
 class steward_core {
@@ -36,12 +37,12 @@
     void on_peer_down(const std::string& incarnation, time_point now);
     void on_peer_message(const std::string& incarnation, const node_message& message, time_point now);
 
-    /** \param reachable false: the engine did not answer */
+    /** \param reachable whether the engine answered */
     void on_engine_status(const std::string& endpoint, bool reachable,
                           const std::vector<version_name>& loaded, time_point now);
 
-    /** Carries out an operator's command; the answer comes through the port.
-     * \param document the bundle of a submit */
+    /** Carries out an operator's command; the reply is sent through the port.
+     * \param document the bundle of a submit command */
     void on_command(const std::string& operation, const fleet_command& command,
                     const std::optional<bundle>& document, time_point now);
 
@@ -49,9 +50,9 @@
     bool is_stopped() const { return host_state_ == "stopped"; }
 
     const fleet_view& view() const { return *view_; }
-    /** \return the time as of which the configuration is known to be the latest, if it is. */
+    /** \return the latest time as of which the configuration is known to be the latest, if it is known. */
     std::optional<time_point> confirmed_as_of(time_point now) const;
-    /** \return whether this steward counts when a majority is asked. */
+    /** \return whether this steward is on the list whose majority confirms revisions. */
     bool is_listed() const;
     std::vector<entry_record> entries(time_point now) const;
     std::size_t waiting_bills() const { return buffer_.waiting(); }
@@ -72,7 +73,7 @@
         time_point pushed_at;
         time_point last_ask;
         fleet_update sent_fleet;
-        std::string sent_fingerprint; ///< of what the last fleet update was made from
+        std::string sent_fingerprint; ///< of the data that the last fleet update was made from
     };
     struct peer_link {
         hello_message hello;
@@ -84,12 +85,12 @@
         std::map<std::string, std::vector<version_name>> sent_loaded;
         std::map<std::string, entry_record> sent_entries;
         int asks_since_full = 0;
-        std::map<std::string, entry_record> entries; ///< that this peer hears from
+        std::map<std::string, entry_record> entries; ///< entries that this peer hears from
         std::int64_t entries_as_of = 0;
     };
     enum class command_phase { store_document, write, read_back, replicate };
     struct pending_command {
-        std::string operation; ///< empty for a steward's own
+        std::string operation; ///< empty for a command of this steward itself
         fleet_command command;
         std::optional<bundle> document;
         command_phase phase = command_phase::store_document;
@@ -190,7 +191,7 @@
     std::string host_state_;
 
     shared_view view_;
-    std::int64_t head_version_ = 0; ///< the platform's version of the head object that \c view_ came from
+    std::int64_t head_version_ = 0; ///< platform version of the head in \ref view_; 0: from a peer
     config_history history_;
     std::map<std::string, bundle> fetched_bundles_;
     revision_evidence revisions_;
@@ -207,8 +208,8 @@
     std::map<std::string, peer_link> peers_;
     std::vector<endpoint_record> endpoints_;
     std::vector<std::string> hosts_;
-    std::int64_t hosts_version_ = 0;     ///< the platform's, of the list last read
-    std::int64_t endpoints_version_ = 0; ///< grows when the endpoints differ
+    std::int64_t hosts_version_ = 0; ///< platform version of the host list that was read last
+    std::int64_t endpoints_version_ = 0; ///< incremented when the list of endpoints changes
     time_point last_fleet_check_;
     std::map<std::string, time_point> leaving_since_;
 
--- a/src/node/steward_fleet.cpp
+++ b/src/node/steward_fleet.cpp
@@ -1,6 +1,5 @@
 /** \file
- * The part of the steward that keeps entries and peers up to date: configuration, confirmations, the
- * fleet, the list of stewards.
+ * Updates of entries and peers by the steward: configuration, confirmations, the fleet, the steward list.
  */
 #include "node/steward_core.h"
 
@@ -106,18 +105,18 @@
     return names;
 }
 
-// What entries are told of the fleet is made anew only when something of it has changed: for hundreds of
-// entries and thousands of endpoints, making it to find that nothing differs would be most of the work.
+// Fleet updates are rebuilt only when their inputs have changed: with hundreds of entries and thousands of
+// endpoints, rebuilding them just to find no difference would be most of a steward's work.
 void steward_core::push_fleet() {
     if (endpoints_.empty() ||
         (last_fleet_check_ != time_point{} && now_ - last_fleet_check_ < fleet_check_interval)) {
-        return; // Without a list read yet, an empty one would make every endpoint look gone.
+        return; // The list has not been read yet; sending an empty one would remove every endpoint.
     }
     last_fleet_check_ = now_;
     fleet_update shared;
     shared.entries = entries(now_);
     for (entry_record& entry : shared.entries) {
-        entry.revision = 0; // Callers' choice does not depend on it, and it would make every push differ.
+        entry.revision = 0; // Not needed to choose an entry, and it would make every update differ.
     }
     shared.leaving = current_leaving_endpoints();
     shared.stewards = view_->head().stewards;
@@ -236,7 +235,7 @@
 
 void steward_core::apply_peer_entries(peer_link& link, const peer_ask& ask) {
     if (ask.asked_at <= link.entries_as_of) {
-        return; // Doubled or late; what it says has been replaced.
+        return; // Duplicate or late: a later message has replaced its content.
     }
     link.entries_as_of = ask.asked_at;
     if (ask.is_full) {
@@ -304,10 +303,10 @@
                        [this](const steward_record& s) { return s.incarnation == settings_.incarnation; });
 }
 
-// The list decides whose answers make a majority while the platform is dark. A start under the name of a
-// listed steward replaces it: the one before has forgotten and answers no more. A new name joins only when
-// a majority holds the present list, so that nobody with an older list can find a majority without
-// somebody who knows better. A steward whose host has left the platform's list is dropped.
+// The list decides whose answers make a majority while the platform is unavailable. A steward that starts
+// under a listed name replaces the one before, which has lost its memory and answers no more. A new name
+// joins only when a majority holds the current list: then every majority of an older list includes a steward
+// that knows of the current one. A silent steward whose host has left the platform's list is removed.
 void steward_core::update_steward_list() {
     const std::vector<steward_record>& list = view_->head().stewards;
     const std::optional<time_point> as_of = confirmed_as_of(now_);
--- a/src/node/steward_ledger.cpp
+++ b/src/node/steward_ledger.cpp
@@ -1,6 +1,6 @@
 /** \file
- * The part of the steward that keeps bills, claims and counts until the platform has them, and the
- * planned stop that hands them over.
+ * Bills, claims and counts that the steward holds until the platform has them, and the planned stop that
+ * hands bills over to peers.
  */
 #include "node/steward_core.h"
 
@@ -53,8 +53,8 @@
     call({"", platform_request::action::create, name, 0, json(*segment)},
          [this, name](const platform_reply& reply) {
              is_draining_bills_ = false;
-             // A conflict is this very segment: its name is this incarnation's own and its content is sealed,
-             // so an earlier write whose answer was lost took effect.
+             // A conflict is this same segment: its name is unique to this incarnation and its content is
+             // sealed, so an earlier write whose answer was lost took effect.
              const bool is_written =
                  reply.what == platform_reply::result::ok || reply.what == platform_reply::result::conflict;
              if (!is_written) {
@@ -90,7 +90,7 @@
              } else if (reply.what == platform_reply::result::unavailable) {
                  answer_claim(task, "unavailable", task.claim);
              } else {
-                 // Taken, or an answer was lost: what stands there now decides.
+                 // The claim is taken, or an answer was lost: the claim that is stored now decides.
                  call({"", platform_request::action::get, claim_name(task.claim.team, task.claim.key), 0, {}},
                       [this, task](const platform_reply& found) { on_claim_conflict(task, found); });
              }
@@ -171,7 +171,7 @@
                  done(written.what == platform_reply::result::ok);
              };
              if (found.what == platform_reply::result::not_found && claim.state == "voided") {
-                 // Takes the place of a create that is still under way and must not succeed any more.
+                 // Occupies the key, so that a create which is still in flight cannot succeed any more.
                  call({"", platform_request::action::create, key, 0, json(claim)}, settle);
                  return;
              }
@@ -207,7 +207,7 @@
          });
 }
 
-// ---- counts for the report on service-level burn ----
+// ---- team counts for the burn report ----
 
 void steward_core::add_team_counts(const std::string& entry, const std::map<std::string, team_counts>& teams) {
     const bool is_counted_here = is_responsible_for(entry);
@@ -278,8 +278,8 @@
     }
 }
 
-// A steward that stops while the platform is dark would take its share of the undrained bills with it.
-// It gives them to its peers first, and goes when each record has another holder.
+// A steward that stops while the platform is unavailable would lose the undrained bills that it holds. It
+// sends them to its peers first, and stops when each record has another holder.
 void steward_core::hand_over_bills() {
     const std::optional<ledger_segment> segment = buffer_.current();
     for (const bill_record& record : segment ? segment->records : std::vector<bill_record>{}) {
--- a/src/node/steward_platform.cpp
+++ b/src/node/steward_platform.cpp
@@ -1,5 +1,5 @@
 /** \file
- * The part of the steward that reads the platform: the head, the bundles it names, the list of hosts.
+ * Reads of the platform by the steward: the head, the bundles that it names, and the list of hosts.
  */
 #include "node/steward_core.h"
 
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr duration head_read_interval = milliseconds(500);
-constexpr duration watch_interval = milliseconds(500); ///< between the end of a watch and the next
+constexpr duration watch_interval = milliseconds(500); ///< pause between two watches
 constexpr duration hosts_read_interval = seconds(2);
 constexpr const char* head_key = "head";
 constexpr const char* hosts_key = "hosts";
@@ -50,7 +50,7 @@
          });
 }
 
-// The watch only says that something changed; what is in force is always read.
+// The watch only signals a change; the head itself is always read.
 void steward_core::watch_head() {
     if (is_watching_ || now_ - last_watch_ < watch_interval) {
         return;
@@ -73,7 +73,7 @@
         return;
     }
     if (reply.what == platform_reply::result::unchanged) {
-        // The platform still has what was held when the question was sent; held since can only be later.
+        // The platform still has the revision held when the read was sent; the view can only be later.
         revisions_.on_platform_read(asked_at, view_->revision());
         return;
     }
@@ -99,7 +99,7 @@
     fetch_missing_bundles(head);
 }
 
-// Asks for the bundles that \p head names and that are not here; the next read of the head goes on.
+// Requests the bundles that \p head names and that are not held; when one arrives, the head is read again.
 void steward_core::fetch_missing_bundles(const fleet_head& head) {
     for (const std::string& id : fleet_view::needed_documents(head)) {
         const std::string hash = head.bundles.at(id).sha256;
@@ -134,7 +134,7 @@
             documents.emplace(id, *held);
         } else {
             return error{error_kind::platform_unavailable,
-                         "bundle \"" + id + "\" could not be read; come back"};
+                         "bundle \"" + id + "\" could not be read; retry later"};
         }
     }
     return std::make_shared<const fleet_view>(head, std::move(documents));
--- a/src/node/steward_rollout.cpp
+++ b/src/node/steward_rollout.cpp
@@ -1,5 +1,5 @@
 /** \file
- * The part of the steward that moves roll-outs: brake, steps, and the orders that load engines.
+ * Roll-outs in the steward: the brake, the steps, and the orders that load versions on engines.
  */
 #include "node/steward_core.h"
 
@@ -51,8 +51,8 @@
     return bad;
 }
 
-// Any steward may take the step; the conditional update lets one succeed. Taking turns only spares the
-// platform the writes that would lose.
+// Any steward may write the change, and the conditional update lets one succeed. Taking turns only saves the
+// platform writes that would fail.
 bool steward_core::is_my_turn(duration waited) const {
     std::size_t rank = 0;
     const std::string salt = std::to_string(view_->revision());
@@ -86,7 +86,7 @@
     }
 }
 
-// The notice works at once, also with the platform dark; the write makes it last.
+// The notice takes effect at once, even while the platform is unavailable; the write makes it permanent.
 void steward_core::apply_brake(const std::vector<version_name>& bad) {
     const std::string& rolling = view_->head().rolling;
     const brake_notice notice{rolling, view_->head().bundles.at(rolling).epoch, bad};
@@ -197,7 +197,7 @@
         return;
     }
     if (now_ - last_engine_check_ < engine_check_interval) {
-        return; // What each of thousands of engines should have loaded takes a while to work out.
+        return; // Computing the wanted versions of thousands of engines is expensive.
     }
     last_engine_check_ = now_;
     const bool is_busy = view_->rolling() != nullptr;
@@ -219,10 +219,10 @@
     }
 }
 
-// Not every engine checks the fence. For those that do not, an order is derived only from a configuration
-// that was confirmed a moment ago, and what the engine has loaded is read back and mended: an order from
-// a steward that had been paused is undone at the next reading. No request relies on any of it, because
-// the engine names its version in each answer.
+// Not every engine checks the fencing token. An order is therefore derived only from a configuration that was
+// confirmed within \c max_order_evidence_age, and the loaded versions are read back and corrected: an order
+// from a steward that had been paused is undone after the next read. No request relies on this, because the
+// engine names its version in each answer.
 void steward_core::on_engine_status(const std::string& name, bool reachable,
                                     const std::vector<version_name>& loaded, time_point now) {
     now_ = now;
--- a/test/node_test.cpp
+++ b/test/node_test.cpp
@@ -1,6 +1,6 @@
 /** \file
- * A focused test for each failure, on real entries and stewards under the virtual clock. Each begins with
- * its story. A broken invariant throws, so that every test checks all promises beside its own.
+ * Tests of single failures, on real entries and stewards under the virtual clock. A broken invariant throws,
+ * so that each test also checks all invariants.
  */
 #include "simulation/simulation.h"
 
@@ -64,8 +64,8 @@
     }
 }
 
-// Bytes that are no message, from a broken or hostile process, are an error and nothing else.
-RC_GTEST_PROP(messages, any_bytes_are_survived, (const std::string& bytes)) {
+// Input from a broken or hostile process must give an error and never a crash.
+RC_GTEST_PROP(messages, arbitrary_bytes_are_refused_without_a_crash, (const std::string& bytes)) {
     RC_ASSERT(value_of(decode(bytes)) == nullptr);
     std::string altered = encode(entry_ask{});
     if (!bytes.empty()) {
@@ -84,7 +84,7 @@
     EXPECT_FALSE(has_valid_proof(hello, "the fleet key", 100500));
 }
 
-TEST(config_delta, a_difference_is_small_and_half_a_configuration_is_refused) {
+TEST(config_delta, a_delta_is_small_and_an_update_without_its_base_or_with_a_wrong_hash_is_refused) {
     config_history history;
     bundle document;
     document.id = "b";
@@ -108,8 +108,8 @@
     EXPECT_NE(error_of(apply_update(fleet_view{}, forged)), nullptr);
 }
 
-// Advisers get wrong drafts: a new cheap version answers most requests badly. The roll-out is at 10%; no
-// operator looks. The brake must stop it within tens of answers, and sessions go back to the good version.
+// A new cheap version answers most requests badly while its roll-out is at 10% and no operator watches. The
+// brake must stop it within tens of answers, and sessions return to the good version.
 TEST_F(failure, a_bad_version_is_braked_without_an_operator) {
     world_options options;
     world simulated(options);
@@ -124,9 +124,9 @@
     simulated.check_final();
 }
 
-// The brake has fallen everywhere by notice, and before the platform has it another change of configuration
-// (a steward leaves the list) comes into force. The bad version must not get work again in between: the
-// notice speaks of the roll-out, not of a revision.
+// A brake notice is in force everywhere, and before the brake is written to the platform another change of
+// configuration comes into force. A notice that applied to a revision would be lifted by it, and the bad
+// version would receive work again.
 TEST_F(failure, a_brake_outlasts_an_unrelated_change_of_configuration) {
     world simulated{quiet_options()};
     simulated.start();
@@ -143,6 +143,7 @@
     EXPECT_FALSE(simulated.entry(0)->view().is_allowed("team-0", bad));
 }
 
+// Guards against a roll-out that stops halfway without an operator although its version is good.
 TEST_F(failure, a_good_version_is_rolled_to_the_end_by_the_stewards_alone) {
     world simulated{world_options{}};
     simulated.start();
@@ -153,8 +154,8 @@
     simulated.check_final();
 }
 
-// The roll-out stands at 10%; the steward that moved it is killed, then another. The fleet would stay with
-// mixed versions for good if the roll-out belonged to a holder. Any steward goes on from the head.
+// Two stewards are killed, one after the other, during a roll-out. If a roll-out belonged to one steward, the
+// fleet would keep mixed versions; any steward must continue it from the head.
 TEST_F(failure, a_half_rollout_is_continued_by_another_steward) {
     world simulated{world_options{}};
     simulated.start();
@@ -167,9 +168,8 @@
     EXPECT_EQ(simulated.head_in_platform().established, "bundle-2");
 }
 
-// A version is withdrawn. One entry is cut off from everything just before and keeps answering callers that
-// still reach it. Its configuration cannot be confirmed, so after the freshness limit it refuses, truly not
-// run, instead of serving the withdrawn version for as long as the cut lasts.
+// An entry is cut off from all others just before a version is withdrawn, while callers still reach it. After
+// the freshness limit it must refuse requests as not run instead of serving the withdrawn version.
 TEST_F(failure, a_cut_off_entry_stops_serving_before_a_withdrawal_counts) {
     world simulated{quiet_options()};
     simulated.start();
@@ -186,9 +186,9 @@
     EXPECT_EQ(simulated.reply_to(connected)->version, "costly@1");
 }
 
-// An entry is paused for seconds (its machine swaps, or is migrated). Meanwhile the version is withdrawn.
-// It wakes up with requests in its queue and a configuration that was fresh a moment ago by its memory.
-TEST_F(failure, a_paused_entry_looks_again_before_it_sends) {
+// An entry is paused for seconds (its machine swaps or is migrated) while a version is withdrawn. It resumes
+// with queued requests and a configuration that looks fresh unless its age is evaluated again.
+TEST_F(failure, a_paused_entry_checks_its_configuration_again_before_it_sends) {
     world simulated{quiet_options()};
     simulated.start();
     simulated.pause_entry(0, seconds(10));
@@ -199,8 +199,9 @@
     EXPECT_NE(simulated.reply_to(asked)->version, "cheap@1");
 }
 
-// The platform is dark for minutes. Requests must go on, an operator must be told the truth, and a steward
-// that is restarted in the dark must not be counted, since it has forgotten what it had accepted.
+// The platform is unavailable for minutes. Requests must go on, an operator's change must not be reported as
+// accepted, and a steward that restarts during the outage must not count towards a majority, since it has
+// lost what it had accepted.
 TEST_F(failure, a_long_outage_of_the_platform_stops_no_request) {
     world simulated{quiet_options()};
     simulated.start();
@@ -210,7 +211,7 @@
     simulated.withdraw("cheap@1");
     simulated.run_for(seconds(20));
     EXPECT_EQ(kind_of(simulated.reply_to(during)), "answered");
-    EXPECT_EQ(simulated.report().commands_accepted, 3U) << "only those of the start";
+    EXPECT_EQ(simulated.report().commands_accepted, 3U) << "only the commands of the start";
     simulated.kill_steward(0, milliseconds(500));
     simulated.kill_steward(1, milliseconds(500));
     simulated.run_for(seconds(10));
@@ -221,8 +222,8 @@
     simulated.check_final();
 }
 
-// The platform takes a write and its answer is lost. Told "failed", the operator would write again, or
-// believe that a withdrawn version still serves. The steward reads back and settles it.
+// The platform applies a write but its answer is lost. If the operator were told "failed", the change would
+// be made again, or a withdrawn version believed to be in use. The steward must read the head back.
 TEST_F(failure, a_lost_write_answer_is_settled_by_reading_back) {
     world simulated{quiet_options()};
     simulated.start();
@@ -237,9 +238,8 @@
     EXPECT_EQ(simulated.head_in_platform().revision, revision + 1);
 }
 
-// A steward that its peers cannot hear writes a withdrawal, and the platform goes dark at once. The other
-// stewards still confirm the older revision to their entries, rightly: so the command must not be called
-// accepted, or the operator would trust a withdrawal that is not in force.
+// A steward that is cut off from its peers writes a withdrawal, and the platform becomes unavailable at once.
+// The other stewards still confirm the older revision, so the change must not be reported as accepted.
 TEST_F(failure, a_change_that_no_majority_holds_is_not_called_accepted) {
     world simulated{quiet_options()};
     simulated.start();
@@ -256,8 +256,8 @@
     EXPECT_EQ(simulated.head_in_platform().withdrawn.count("cheap@1"), 1U);
 }
 
-// A notary's office books; its connection breaks and its library sends the same booking, with the same key,
-// to another entry while the first is still under way. Two firms must not hold one hour.
+// A caller's connection breaks and its client repeats the booking with the same key at another entry while
+// the first attempt is still in progress. Without the claim it would run twice.
 TEST_F(failure, one_booking_key_at_two_entries_runs_once) {
     world simulated{quiet_options()};
     simulated.start();
@@ -270,10 +270,11 @@
     EXPECT_TRUE(has_answer);
     const std::uint64_t later = simulated.ask(2, booking("k1", "m1"));
     simulated.run_for(seconds(3));
-    EXPECT_EQ(kind_of(simulated.reply_to(later)), "answered") << "the kept answer";
+    EXPECT_EQ(kind_of(simulated.reply_to(later)), "answered") << "the stored answer";
     EXPECT_EQ(simulated.runs_of("m1"), 1);
 }
 
+// Guards against a reused idempotency key that returns the answer to another request, or runs a second one.
 TEST_F(failure, a_key_reused_for_another_request_is_a_conflict) {
     world simulated{quiet_options()};
     simulated.start();
@@ -287,9 +288,9 @@
     EXPECT_EQ(simulated.runs_of("m2"), 0);
 }
 
-// A roll-out has taken a session at one entry; its next request reaches an entry that has not heard of the
-// roll-out yet, within the seconds that this may take. By its older configuration the pinned version is not
-// allowed, and it would move the session back. The token says which configuration made the pin: it waits.
+// A session pinned to a new version reaches an entry that does not have the roll-out's configuration yet.
+// Without the revision in the token, the entry would find the pinned version not allowed and move the session
+// back.
 TEST_F(failure, an_entry_behind_the_token_does_not_move_the_session) {
     world simulated{quiet_options()};
     simulated.start();
@@ -303,8 +304,8 @@
     EXPECT_EQ(ran_of(simulated.reply_to(asked)), "no");
 }
 
-// The booking service does the call and its answer is lost. Sending it again would book twice; saying "not
-// run" would make the caller do it. The truth is "unknown".
+// The booking service runs a call and its answer is lost. Repeating it would book twice, and "not run" would
+// make the caller repeat it, so the outcome must be reported as unknown.
 TEST_F(failure, a_lost_answer_of_a_booking_is_neither_repeated_nor_denied) {
     world simulated{quiet_options()};
     simulated.start();
@@ -320,8 +321,8 @@
     EXPECT_EQ(simulated.runs_of("m1"), 1);
 }
 
-// The platform is dark and a keyed booking comes: without the claim it could run twice over two entries.
-TEST_F(failure, a_keyed_booking_waits_for_the_platform_truly_not_run) {
+// The platform is down when a keyed booking arrives: without a claim it could run twice at two entries.
+TEST_F(failure, a_keyed_booking_is_refused_as_not_run_while_the_platform_is_down) {
     world simulated{quiet_options()};
     simulated.start();
     simulated.platform->faults.is_down = true;
@@ -337,8 +338,8 @@
     EXPECT_EQ(simulated.runs_of("m1"), 1);
 }
 
-// The platform goes dark, answers are billed into the stewards' memory, and a steward dies before it could
-// write them. The copy on the other steward, and the entry's own, keep the bill.
+// The platform becomes unavailable, and a steward that holds bills in memory is killed before it can write
+// them. The copies at another steward and at the entry must keep the bills.
 TEST_F(failure, bills_survive_the_loss_of_a_steward_in_an_outage) {
     world simulated{world_options{}};
     simulated.start();
@@ -352,7 +353,7 @@
     EXPECT_GT(simulated.report().billed, 500U);
 }
 
-// A steward is told to stop while the platform is dark; what it holds would go with it.
+// A steward stops while the platform is down; without a hand-over the bills that it holds would be lost.
 TEST_F(failure, a_stopping_steward_hands_over_its_bills_in_an_outage) {
     world simulated{world_options{}};
     simulated.start();
@@ -367,8 +368,8 @@
     EXPECT_EQ(simulated.report().unbilled, 0U);
 }
 
-// An engine's connection goes silent in the middle of a stream: no error comes, no part either. The entry
-// resumes from the part that is missing or begins anew; the caller gets every part once.
+// An engine's connection goes silent in the middle of a stream, without an error. The entry must resume at
+// the missing part or restart the stream, and the caller gets every part once.
 TEST_F(failure, a_silent_stream_is_resumed_without_a_gap) {
     world simulated{quiet_options()};
     simulated.start();
@@ -387,12 +388,12 @@
     EXPECT_EQ(kind_of(simulated.reply_to(asked)), "answered");
 }
 
-// A version is withdrawn in the middle of a stream. The team asked for "rerun": the caller is told that
-// the answer begins anew and gets it whole from a good version, billed once.
+// A version is withdrawn in the middle of a stream of a team with "rerun". The caller must be told that the
+// answer restarts and get it whole from another version, billed once.
 TEST_F(failure, a_stream_of_a_withdrawn_version_begins_anew) {
     world simulated{quiet_options()};
     simulated.start();
-    // Teaches the estimator nothing: a stream is routed by the prior, to the costly version.
+    // Without ratings a stream is routed by the prior, to the costly version.
     operation wish = question(0.1, true);
     wish.tokens = 300;
     const std::uint64_t asked = simulated.ask(0, wish);
@@ -407,7 +408,7 @@
     EXPECT_EQ(simulated.report().billed, 1U);
 }
 
-// A planned stop comes while answers are under way, and callers hold the host's address a while longer.
+// An entry is stopped while requests are open and callers still have its address cached. No request may fail.
 TEST_F(failure, a_planned_stop_cuts_no_request) {
     world_options options;
     options.callers_retry = false;
@@ -424,7 +425,7 @@
     simulated.check_final();
 }
 
-// An engine is being replaced: it refuses new work, saying so, seconds before the platform's list does.
+// An engine refuses new work as leaving, seconds before the platform's list says so. No entry may send to it.
 TEST_F(failure, a_leaving_endpoint_gets_nothing_new_from_any_entry) {
     world simulated{world_options{}};
     simulated.start();
@@ -438,7 +439,7 @@
     simulated.check_final();
 }
 
-// An engine obeyed an order that was sent by a steward that had been paused, and names another version.
+// Engines that followed an order of a steward that had been paused answer with another version.
 TEST_F(failure, an_answer_under_a_wrong_name_is_never_released) {
     world simulated{quiet_options()};
     simulated.start();
@@ -451,8 +452,8 @@
     EXPECT_EQ(ran_of(simulated.reply_to(asked)), "unknown");
 }
 
-// A steward is paused in the middle of a roll-out and wakes up with an order in hand. Engines that check
-// the fence refuse it; what the others load is read back and mended.
+// A steward that was paused during a roll-out sends outdated orders. Engines without a fencing check follow
+// them; the loaded versions must be read back and corrected.
 TEST_F(failure, engines_that_ignore_the_fence_are_read_back_and_mended) {
     world_options options;
     options.engines_check_fence = false;
@@ -466,6 +467,7 @@
     EXPECT_EQ(engine.loaded.count("cheap@99"), 0U);
 }
 
+// Guards against an order that arrives after a later one and undoes it.
 TEST_F(failure, an_engine_that_checks_the_fence_refuses_an_old_order) {
     world simulated{quiet_options()};
     simulated.start();
@@ -476,8 +478,8 @@
     EXPECT_EQ(engine.loaded.count("costly@1"), 1U);
 }
 
-// The rating service is dark. Whole answers must still come, from the version that is trusted unrated.
-TEST_F(failure, a_dark_rating_service_falls_back_to_the_safe_version) {
+// The rating service is down. Answers must still come, from the version that is trusted unrated.
+TEST_F(failure, without_the_rating_service_the_trusted_version_answers) {
     world simulated{quiet_options()};
     simulated.start();
     simulated.rater_is_down = true;
@@ -485,7 +487,7 @@
     simulated.run_for(seconds(8));
     ASSERT_NE(simulated.reply_to(asked), nullptr);
     EXPECT_EQ(simulated.reply_to(asked)->version, "costly@1");
-    // Not every answer waits out the time limit of a service that is known to be dark.
+    // Later answers do not wait for the rating timeout once ratings have failed repeatedly.
     simulated.ask(0, question());
     simulated.run_for(seconds(8));
     const std::uint64_t later = simulated.ask(0, question());
@@ -494,8 +496,8 @@
     EXPECT_GT(simulated.entry_numbers(0).counter("ratings_skipped"), 0U);
 }
 
-// A hall loses power: an entry, a steward and a quarter of the engines are gone at once, while the platform
-// is dark. The rest goes on.
+// A failure domain is lost during an outage of the platform: an entry, a steward and a quarter of the engines
+// are gone at once. The others must go on serving.
 TEST_F(failure, a_lost_domain_in_an_outage_leaves_the_rest_serving) {
     world_options options;
     options.entries = 4;
@@ -513,7 +515,7 @@
     simulated.check_final();
 }
 
-// Every engine of the pool is gone. Callers must hear it soon and truly, not hang until their deadline.
+// All engines of a pool are gone. Callers must be refused soon, as not run, and not at their deadline.
 TEST_F(failure, an_empty_pool_is_refused_soon_and_not_run) {
     world simulated{quiet_options()};
     simulated.start();
@@ -526,10 +528,9 @@
     EXPECT_EQ(ran_of(simulated.reply_to(asked)), "no");
 }
 
-// One caller's question ends every engine that begins to run it. The entry sends it to five, the caller asks
-// again and it goes to five more, until no engine is left for anybody: what its ends say is forgotten with
-// each try.
-TEST_F(failure, a_request_that_ends_its_endpoints_is_not_sent_for_ever) {
+// One caller's request terminates every engine that begins to run it. Without a record of these ends it is
+// sent to five engines each time the caller repeats it, until no engine is left.
+TEST_F(failure, a_request_that_terminates_its_endpoints_is_quarantined) {
     world_options options = quiet_options();
     options.engines = 16;
     world simulated{options};
@@ -545,10 +546,10 @@
     }
     const auto ended = std::count_if(simulated.endpoints.begin(), simulated.endpoints.end(),
                                      [](const auto& endpoint) { return endpoint->is_dead; });
-    EXPECT_LE(ended, 3) << "three ends under one request tell enough";
+    EXPECT_LE(ended, 3) << "three ends under one request are enough to quarantine it";
 }
 
-/** Asks entry after entry, one question each 50 ms, for \p time. */
+/** Sends one question each 50 ms for \p time, to one entry after the other. */
 void ask_continuously(world& simulated, int entries, duration time) {
     constexpr duration pause = milliseconds(50);
     for (int asked = 0; asked * pause < time; ++asked) {
@@ -569,7 +570,7 @@
 
 // Guards against entries that go on sending to an engine which has named a rate limit for all of them.
 TEST_F(failure, an_engine_gets_no_more_than_the_rate_limit_that_it_names) {
-    constexpr std::size_t most_in_4_s = 17; // 1.5 times what 2 a second allow, and 5.
+    constexpr std::size_t most_in_4_s = 17; // 1.5 times 4 s at the limit of 2 requests/s, plus 5.
     world_options options = quiet_options();
     options.engines = 3;
     world simulated{options};
@@ -580,10 +581,10 @@
     const time_point since = simulated.clock.now();
     ask_continuously(simulated, options.entries, seconds(4));
     EXPECT_LE(arrivals_since(limited, since), most_in_4_s);
-    EXPECT_GE(arrivals_since(limited, since), 1U) << "or nobody hears that it is over";
+    EXPECT_GE(arrivals_since(limited, since), 1U) << "without any request, entries never learn that the limit is lifted";
 }
 
-// Guards against an entry that goes on sending to an engine which has asked it for rest.
+// Guards against an entry that goes on sending to an engine which has asked for a back-off.
 TEST_F(failure, an_engine_that_asks_for_rest_gets_it) {
     constexpr std::size_t most_in_rest = 2;
     world_options options = quiet_options();
@@ -600,7 +601,7 @@
     EXPECT_LE(arrivals_since(resting, asked_at + milliseconds(500)), most_in_rest);
 }
 
-// Guards against an entry that goes on sending to an engine which says in its answers that it leaves.
+// Guards against an entry that goes on sending to an engine which announces that it is leaving.
 TEST_F(failure, an_engine_that_says_it_leaves_gets_nothing_new) {
     world_options options = quiet_options();
     options.engines = 3;
@@ -615,7 +616,8 @@
     EXPECT_GE(leaving.arrivals.size(), 1U);
 }
 
-TEST_F(failure, a_stranger_and_a_forbidden_service_run_nothing) {
+// Guards against a request with an unknown team key that is queued or sent to an endpoint.
+TEST_F(failure, a_request_with_an_unknown_key_runs_nothing) {
     world simulated{quiet_options()};
     simulated.start();
     operation stranger = question();
