--- a/src/node/messages.h
+++ b/src/node/messages.h
@@ -145,7 +145,7 @@
     std::vector<std::string> gone; ///< incarnations that the sender no longer hears from
     std::vector<std::string> lagging; ///< incarnations of entries that do not have \c revision in force
     std::map<std::string, counts_by_version> counts; ///< counts that have changed, by entry incarnation
-    std::map<std::string, std::vector<std::string>> loaded; ///< by engine that the sender polls
+    std::map<std::string, std::vector<std::string>> loaded; ///< loaded versions by engine, if changed
 };
 LAUREL_VALUE_TYPE(peer_ask, asked_at, incarnation, revision, is_full, entries, gone, lagging, counts, loaded)
 
