--- a/src/node/config_delta.cpp
+++ b/src/node/config_delta.cpp
@@ -41,8 +41,8 @@
 
 outcome<shared_view> apply_update(const fleet_view& base, const config_update& update) {
     if (update.base_revision != 0 && update.base_revision != base.revision()) {
-        return refused("delta against revision " + std::to_string(update.base_revision) + ", but the revision held is " +
-                       std::to_string(base.revision()));
+        return refused("delta against revision " + std::to_string(update.base_revision) +
+                       ", but the revision held is " + std::to_string(base.revision()));
     }
     fleet_head head;
     try {
--- a/src/node/entry_admission.cpp
+++ b/src/node/entry_admission.cpp
@@ -87,8 +87,8 @@
     }
     const service_call* call = find_call(*service, request.incoming.path);
     if (call == nullptr) {
-        return error{error_kind::not_found,
-                     "service \"" + request.incoming.service + "\" has no call \"" + request.incoming.path + "\""};
+        return error{error_kind::not_found, "service \"" + request.incoming.service + "\" has no call \"" +
+                                                request.incoming.path + "\""};
     }
     request.is_idempotent = call->idempotent;
     request.pool = service->pool;
@@ -144,8 +144,8 @@
         }
     } else if (request_by_key_.count(key) > 0) {
         const error open{error_kind::in_progress,
-                         "a request with this Idempotency-Key is in progress; retry later", ran_state::unknown,
-                         500};
+                         "a request with this Idempotency-Key is in progress; retry later",
+                         ran_state::unknown, 500};
         reply.status = http_status(open.kind);
         reply.body = to_error_body(open, request_by_key_[key]);
         reply.retry_after_ms = open.retry_after_ms;
--- a/src/node/entry_control.cpp
+++ b/src/node/entry_control.cpp
@@ -132,8 +132,8 @@
 bool entry_core::is_brake_notice_current() const {
     const fleet_head& head = base_view_->head();
     const auto rolling = head.bundles.find(brake_notice_.bundle_id);
-    return !brake_notice_.versions.empty() && head.rolling == brake_notice_.bundle_id && rolling != head.bundles.end() &&
-           rolling->second.epoch == brake_notice_.epoch;
+    return !brake_notice_.versions.empty() && head.rolling == brake_notice_.bundle_id &&
+           rolling != head.bundles.end() && rolling->second.epoch == brake_notice_.epoch;
 }
 
 // A brake takes effect before it is written to the platform: the versions of the latest notice count as
@@ -155,8 +155,10 @@
 }
 
 void entry_core::on(const std::string& /*from*/, const brake_notice& message) {
-    const bool is_same_rollout = message.bundle_id == brake_notice_.bundle_id && message.epoch == brake_notice_.epoch;
-    brake_notice merged = is_same_rollout ? brake_notice_ : brake_notice{message.bundle_id, message.epoch, {}};
+    const bool is_same_rollout =
+        message.bundle_id == brake_notice_.bundle_id && message.epoch == brake_notice_.epoch;
+    brake_notice merged =
+        is_same_rollout ? brake_notice_ : brake_notice{message.bundle_id, message.epoch, {}};
     for (const version_name& version : message.versions) {
         if (std::find(merged.versions.begin(), merged.versions.end(), version) == merged.versions.end()) {
             merged.versions.push_back(version);
@@ -276,7 +278,8 @@
     for (const auto& [incarnation, link] : links_) {
         const bool is_preferred = domains.size() < wanted_bill_copies && domains.insert(link.domain).second;
         const duration least_age = is_preferred ? duration::zero() : extra_holder_delay;
-        std::vector<bill_record> unsent = outbox_.take_unsent(incarnation, now_, bill_resend_interval, least_age);
+        std::vector<bill_record> unsent =
+            outbox_.take_unsent(incarnation, now_, bill_resend_interval, least_age);
         if (!unsent.empty()) {
             port_.send_to_steward(incarnation, bill_batch{std::move(unsent)});
         }
--- a/src/node/entry_core.cpp
+++ b/src/node/entry_core.cpp
@@ -233,8 +233,8 @@
     endpoint_wish any;
     any.version = is_service ? "" : queue_name;
     const model_entry* model = is_service ? nullptr : view_->model(queue_name);
-    any.pool =
-        is_service ? queue_name.substr(std::string("service:").size()) : (model == nullptr ? "" : model->pool);
+    any.pool = is_service ? queue_name.substr(std::string("service:").size())
+                          : (model == nullptr ? "" : model->pool);
     if (!endpoints_.choose(any, now_, allowed_within(duration::zero()))) {
         return false;
     }
@@ -506,7 +506,8 @@
 
 void entry_core::record_answer(context& request, const endpoint_answer& answer) {
     if (request.answer && request.answer->score) {
-        const bool is_better = !request.earlier_answer || *request.answer->score > *request.earlier_answer->score;
+        const bool is_better =
+            !request.earlier_answer || *request.answer->score > *request.earlier_answer->score;
         request.earlier_answer = is_better ? request.answer : request.earlier_answer;
     }
     pending_answer arrived;
@@ -545,8 +546,8 @@
     }
     request.rating_id = random_.identifier("rate-");
     request_by_call_[request.rating_id] = request.id;
-    port_.request_rating(
-        {request.rating_id, request.id, request.answer->version, request.incoming.body, request.answer->text});
+    port_.request_rating({request.rating_id, request.id, request.answer->version, request.incoming.body,
+                          request.answer->text});
 }
 
 void entry_core::on_rating(const std::string& call_id, std::optional<double> score, time_point now) {
@@ -581,7 +582,7 @@
     if (score) {
         const model_entry* model = view_->model(request.answer->version);
         record_rating(subject_of(request, request.answer->version), request.answer->version, *score,
-                    request.team.quality.score, model == nullptr ? 0.5 : model->prior_quality);
+                      request.team.quality.score, model == nullptr ? 0.5 : model->prior_quality);
     }
     fire(id, "rated");
     dispatch_queues();
--- a/src/node/entry_core.h
+++ b/src/node/entry_core.h
@@ -21,7 +21,7 @@
     std::string incarnation;
     std::string address; ///< address that callers connect to
     std::string domain;
-    std::string session_key;                   ///< signs session tokens; the same on every entry
+    std::string session_key;                     ///< signs session tokens; the same on every entry
     duration entry_list_cache_time = seconds(5); ///< how long callers may cache the response of /v1/entries
 };
 
@@ -51,14 +51,15 @@
     void on_caller_gone(caller_handle caller, time_point now);
     /** \return the entries that the caller should use, best first. */
     std::vector<entry_choice> entries_for(const std::string& session) const;
-/** Reports the state of an earlier request: at once if this entry knows it, else with a steward's answer. */
+    /** Reports the state of an earlier request: at once if this entry knows it, else with a steward's answer.
+     */
     void on_lookup(caller_handle caller, const std::string& team_key, const std::string& key, time_point now);
 
     // Endpoints and the rating service.
     void on_endpoint_answer(const std::string& call_id, const endpoint_answer& answer, time_point now);
     /** \param index number of the part within the whole answer, from 0 */
     void on_endpoint_part(const std::string& call_id, int index, const std::string& text, time_point now);
-/** \param score no value if the rating service did not answer in time */
+    /** \param score no value if the rating service did not answer in time */
     void on_rating(const std::string& call_id, std::optional<double> score, time_point now);
 
     // Stewards, by incarnation.
@@ -219,7 +220,7 @@
     void cache_reply(const context& request, const caller_reply& reply);
     void rate_in_background(const context& request);
     void record_rating(const quality_estimator::subject& subject, const version_name& version, double score,
-                     double required_score, double prior);
+                       double required_score, double prior);
     version_counts& counts_of(const version_name& version);
 
     entry_settings settings_;
@@ -235,7 +236,7 @@
     std::string host_state_;
     time_point stop_began_;
     shared_view base_view_; ///< the accepted configuration
-    shared_view view_; ///< \ref base_view_ with the versions of the brake notice stopped
+    shared_view view_;      ///< \ref base_view_ with the versions of the brake notice stopped
     freshness freshness_;
     std::map<std::string, steward_link> links_;
     std::vector<steward_record> stewards_;
--- a/src/node/entry_port.h
+++ b/src/node/entry_port.h
@@ -18,11 +18,11 @@
 struct caller_request {
     caller_handle caller = 0;
     std::string team_key;
-    std::string service;         ///< empty for a model request
-    std::string path; ///< path of the service call
-    std::string kind; ///< the caller's label for this sort of request; quality is learned per label
+    std::string service; ///< empty for a model request
+    std::string path;    ///< path of the service call
+    std::string kind;    ///< the caller's label for this sort of request; quality is learned per label
     std::string idempotency_key; ///< empty: none
-    std::string session; ///< token from an earlier reply, or the caller's own id; may be empty
+    std::string session;         ///< token from an earlier reply, or the caller's own id; may be empty
     std::string prefix;          ///< identifies the start of the prompt, for the prefix cache
     bool stream = false;
     json body;
@@ -48,24 +48,24 @@
     std::string request_id;
     endpoint_record endpoint;
     std::string version; ///< model@version, empty for services
-    std::string path; ///< path of a service call
+    std::string path;    ///< path of a service call
     json body;
     bool stream = false;
     bool is_idempotent = true;
     int resume_from = 0; ///< number of stream parts that have arrived; the answer continues after them
-    int priority = 0; ///< a larger number is more urgent
-    duration timeout{}; ///< for the whole answer, or of a stream for each gap between two parts
+    int priority = 0;    ///< a larger number is more urgent
+    duration timeout{};  ///< for the whole answer, or of a stream for each gap between two parts
 };
 
 /** How a call ended. */
 struct endpoint_answer {
     call_result result = call_result::failed;
     std::string request_id; ///< request id that the endpoint echoes
-    std::string version; ///< model@version that the engine reports
+    std::string version;    ///< model@version that the engine reports
     bool version_missing = false;
     bool is_silent = false; ///< nothing arrived within the call's timeout
-    json body; ///< response body of a service
-    int status = 0; ///< HTTP status; 0 if none arrived
+    json body;              ///< response body of a service
+    int status = 0;         ///< HTTP status; 0 if none arrived
     std::string text;
     std::int64_t tokens = 0;
     load_report report;
--- a/src/node/entry_replies.cpp
+++ b/src/node/entry_replies.cpp
@@ -25,7 +25,7 @@
 }
 
 void entry_core::record_rating(const quality_estimator::subject& subject, const version_name& version,
-                             double score, double required_score, double prior) {
+                               double score, double required_score, double prior) {
     const bool is_met = score >= required_score;
     quality_.observe(subject, is_met, prior);
     version_counts& counts = counts_of(version);
@@ -221,7 +221,8 @@
     const model_entry* model = view_->model(request.answer->version);
     background_ratings_[id] = {subject_of(request, request.answer->version), request.answer->version,
                                request.team.quality.score, model == nullptr ? 0.5 : model->prior_quality};
-    port_.request_rating({id, request.id, request.answer->version, request.incoming.body, request.answer->text});
+    port_.request_rating(
+        {id, request.id, request.answer->version, request.incoming.body, request.answer->text});
 }
 
 // ---- refusals ----
@@ -304,7 +305,8 @@
         request.is_idempotent
             ? "no endpoint gave a complete answer in time; it is safe to send the request again"
             : "the call was sent and its answer was lost; check /v1/requests before sending it again";
-    send_error(request, {kind, message, ran_state::unknown, request.is_idempotent ? default_retry_after_ms : 0});
+    send_error(request,
+               {kind, message, ran_state::unknown, request.is_idempotent ? default_retry_after_ms : 0});
 }
 
 void entry_core::abandon(context& request) {
--- a/src/node/messages.h
+++ b/src/node/messages.h
@@ -31,14 +31,14 @@
     std::int64_t asked_at = 0; ///< sending time in us on the entry's monotonic clock; echoed in the answer
     std::int64_t revision = 0; ///< of the configuration in force at the entry
     std::vector<entry_record> entry; ///< the entry's own record, when it has changed and at intervals
-    counts_by_version counts; ///< counts that have changed since the last message
+    counts_by_version counts;        ///< counts that have changed since the last message
     std::map<std::string, team_counts> teams; ///< team counts that have changed since the last message
 };
 LAUREL_VALUE_TYPE(entry_ask, asked_at, revision, entry, counts, teams)
 
 /** Steward to entry: \c revision was known to be the latest one \c evidence_age before this answer. */
 struct entry_confirm {
-    std::int64_t asked_at = 0; ///< copied from the \ref entry_ask that is answered
+    std::int64_t asked_at = 0;     ///< copied from the \ref entry_ask that is answered
     std::int64_t evidence_age = 0; ///< age of the steward's evidence in us
     std::int64_t revision = 0;
 };
@@ -48,7 +48,7 @@
 struct config_update {
     std::int64_t revision = 0;
     std::int64_t base_revision = 0;
-    json head; ///< JSON Patch against the head of the base revision, or the complete head
+    json head;                     ///< JSON Patch against the head of the base revision, or the complete head
     std::vector<bundle> documents; ///< bundles that the head names and the receiver lacks
 };
 LAUREL_VALUE_TYPE(config_update, revision, base_revision, head, documents)
@@ -57,7 +57,7 @@
 struct fleet_update {
     std::vector<entry_record> entries;
     std::vector<endpoint_record> endpoints;
-    std::vector<std::string> leaving; ///< names of endpoints that have announced that they are leaving
+    std::vector<std::string> leaving;     ///< names of endpoints that have announced that they are leaving
     std::vector<steward_record> stewards; ///< the stewards to connect to
     std::map<std::string, std::size_t> sharers; ///< by pool: entries that use one endpoint, rounded up
 };
@@ -140,10 +140,10 @@
     std::int64_t asked_at = 0; ///< sending time in us on the sender's monotonic clock; echoed
     std::string incarnation;
     std::int64_t revision = 0;
-    bool is_full = false; ///< \c entries is complete and replaces all that was sent before
+    bool is_full = false;              ///< \c entries is complete and replaces all that was sent before
     std::vector<entry_record> entries; ///< entries with a link to the sender: changed ones, or all
-    std::vector<std::string> gone; ///< incarnations that the sender no longer hears from
-    std::vector<std::string> lagging; ///< incarnations of entries that do not have \c revision in force
+    std::vector<std::string> gone;     ///< incarnations that the sender no longer hears from
+    std::vector<std::string> lagging;  ///< incarnations of entries that do not have \c revision in force
     std::map<std::string, counts_by_version> counts; ///< counts that have changed, by entry incarnation
     std::map<std::string, std::vector<std::string>> loaded; ///< loaded versions by engine, if changed
 };
--- a/src/node/request_context.h
+++ b/src/node/request_context.h
@@ -23,7 +23,7 @@
     std::string state;
 
     // The request as admitted. Only \c pool changes later, with the version that is chosen.
-    std::string id; ///< created by the entry for each call of a caller
+    std::string id;      ///< created by the entry for each call of a caller
     std::string bill_id; ///< the caller's idempotency key if it sent one, else \c id
     caller_request incoming;
     team_entry team;
@@ -56,12 +56,12 @@
     std::optional<version_name> pin_at_dispatch; ///< the version that the session was pinned to at dispatch
 
     // Results so far.
-    bool may_have_run = false; ///< a call that was sent may have run
+    bool may_have_run = false;         ///< a call that was sent may have run
     bool earlier_may_have_run = false; ///< \c may_have_run before the call in progress
     int parts_streamed = 0;
     int resume_from = 0;
     std::int64_t cost_micro = 0;
-    std::optional<pending_answer> answer; ///< the latest whole answer
+    std::optional<pending_answer> answer;         ///< the latest whole answer
     std::optional<pending_answer> earlier_answer; ///< the best rated answer before \c answer
     std::string rating_id;
     std::string moved_from;
--- a/src/node/steward_commands.cpp
+++ b/src/node/steward_commands.cpp
@@ -54,7 +54,8 @@
         return;
     }
     pending_command& pending = commands_.front();
-    if (pending.is_awaiting_platform || now_ < pending.retry_at || pending.phase == command_phase::replicate) {
+    if (pending.is_awaiting_platform || now_ < pending.retry_at ||
+        pending.phase == command_phase::replicate) {
         return;
     }
     if (now_ >= pending.deadline) {
@@ -63,7 +64,8 @@
             "the platform gave no answer to the write; it may have taken effect: see laurelctl status",
             ran_state::unknown, 1000};
         const error unavailable{error_kind::platform_unavailable,
-                         "the platform does not answer; nothing was changed; retry later", ran_state::no, 1000};
+                                "the platform does not answer; nothing was changed; retry later",
+                                ran_state::no, 1000};
         finish_command(pending.may_have_taken_effect ? unknown : unavailable);
         return;
     }
--- a/src/node/steward_core.cpp
+++ b/src/node/steward_core.cpp
@@ -5,8 +5,9 @@
 
 namespace laurelhoist {
 
-steward_core::steward_core(steward_settings settings, chart bundle_chart, chart host_chart, steward_port& port,
-                           metrics& registry, std::uint64_t seed, disabled_guards disabled)
+steward_core::steward_core(steward_settings settings, chart bundle_chart, chart host_chart,
+                           steward_port& port, metrics& registry, std::uint64_t seed,
+                           disabled_guards disabled)
     : settings_{std::move(settings)},
       bundle_chart_{std::move(bundle_chart)},
       host_chart_{std::move(host_chart)},
--- a/src/node/steward_core.h
+++ b/src/node/steward_core.h
@@ -208,7 +208,7 @@
     std::map<std::string, peer_link> peers_;
     std::vector<endpoint_record> endpoints_;
     std::vector<std::string> hosts_;
-    std::int64_t hosts_version_ = 0; ///< platform version of the host list that was read last
+    std::int64_t hosts_version_ = 0;     ///< platform version of the host list that was read last
     std::int64_t endpoints_version_ = 0; ///< incremented when the list of endpoints changes
     time_point last_fleet_check_;
     std::map<std::string, time_point> leaving_since_;
--- a/src/node/steward_fleet.cpp
+++ b/src/node/steward_fleet.cpp
@@ -45,7 +45,8 @@
 }
 
 void steward_core::push_config_to_entry(const std::string& incarnation, entry_link& link) {
-    const bool is_recently_pushed = link.pushed_revision == view_->revision() && now_ - link.pushed_at < push_repeat_interval;
+    const bool is_recently_pushed =
+        link.pushed_revision == view_->revision() && now_ - link.pushed_at < push_repeat_interval;
     if (is_recently_pushed || view_->revision() == 0) {
         return;
     }
@@ -275,7 +276,8 @@
 }
 
 void steward_core::push_config_to_peer(const std::string& incarnation, peer_link& link) {
-    const bool is_recently_pushed = link.pushed_revision == view_->revision() && now_ - link.pushed_at < push_repeat_interval;
+    const bool is_recently_pushed =
+        link.pushed_revision == view_->revision() && now_ - link.pushed_at < push_repeat_interval;
     if (is_recently_pushed || view_->revision() == 0) {
         return;
     }
--- a/src/node/steward_ledger.cpp
+++ b/src/node/steward_ledger.cpp
@@ -209,7 +209,8 @@
 
 // ---- team counts for the burn report ----
 
-void steward_core::add_team_counts(const std::string& entry, const std::map<std::string, team_counts>& teams) {
+void steward_core::add_team_counts(const std::string& entry,
+                                   const std::map<std::string, team_counts>& teams) {
     const bool is_counted_here = is_responsible_for(entry);
     for (const auto& [team, counts] : teams) {
         team_counts& seen = last_counts_[entry][team];
@@ -286,7 +287,8 @@
         hand_over_outbox_.add(record, now_);
     }
     for (const auto& [incarnation, link] : peers_) {
-        std::vector<bill_record> unsent = hand_over_outbox_.take_unsent(incarnation, now_, hand_over_resend_interval);
+        std::vector<bill_record> unsent =
+            hand_over_outbox_.take_unsent(incarnation, now_, hand_over_resend_interval);
         if (!unsent.empty()) {
             port_.send_to_peer(incarnation, bill_batch{std::move(unsent)});
         }
--- a/src/node/steward_port.h
+++ b/src/node/steward_port.h
@@ -35,7 +35,7 @@
         not_found,
         conflict,
         unavailable, ///< the call failed, certainly without effect
-        unknown, ///< no answer: the call may have taken effect, or may do so later
+        unknown,     ///< no answer: the call may have taken effect, or may do so later
     };
     std::string operation;
     result what = result::unknown;
@@ -58,7 +58,7 @@
     std::optional<error> failure;
     bool is_accepted = false; ///< the change is written, and a majority of the stewards holds it
     std::int64_t revision = 0;
-    std::size_t holders = 0; ///< listed stewards that are known to hold \c revision
+    std::size_t holders = 0;  ///< listed stewards that are known to hold \c revision
     std::size_t stewards = 0; ///< number of listed stewards
 };
 
--- a/src/node/steward_rollout.cpp
+++ b/src/node/steward_rollout.cpp
@@ -241,7 +241,8 @@
     const std::optional<time_point> as_of = confirmed_as_of(now);
     const bool is_recently_confirmed = as_of && now - *as_of < max_order_evidence_age;
     const auto ordered = ordered_at_.find(name);
-    const bool is_order_pending = ordered != ordered_at_.end() && now - ordered->second < order_repeat_interval;
+    const bool is_order_pending =
+        ordered != ordered_at_.end() && now - ordered->second < order_repeat_interval;
     if (!is_recently_confirmed || is_order_pending || sorted == wanted_sorted) {
         return;
     }
--- a/test/node_test.cpp
+++ b/test/node_test.cpp
@@ -581,7 +581,8 @@
     const time_point since = simulated.clock.now();
     ask_continuously(simulated, options.entries, seconds(4));
     EXPECT_LE(arrivals_since(limited, since), most_in_4_s);
-    EXPECT_GE(arrivals_since(limited, since), 1U) << "without any request, entries never learn that the limit is lifted";
+    EXPECT_GE(arrivals_since(limited, since), 1U)
+        << "without any request, entries never learn that the limit is lifted";
 }
 
 // Guards against an entry that goes on sending to an engine which has asked for a back-off.
