--- a/src/node/entry_core.h
+++ b/src/node/entry_core.h
@@ -51,8 +51,7 @@
     void on_caller_gone(caller_handle caller, time_point now);
     /** \return the entries that the caller should use, best first. */
     std::vector<entry_choice> entries_for(const std::string& session) const;
-    /** Reports the state of an earlier request: at once if this entry knows it, else with a steward's answer.
-     */
+    /** Reports the state of an earlier request, at once if this entry knows it, else from a steward. */
     void on_lookup(caller_handle caller, const std::string& team_key, const std::string& key, time_point now);
 
     // Endpoints and the rating service.
--- a/test/node_test.cpp
+++ b/test/node_test.cpp
@@ -51,6 +51,7 @@
 
 } // namespace
 
+// Guards against fields that are lost or mixed up between encoding and decoding.
 TEST(messages, every_type_survives_cbor) {
     const std::vector<node_message> messages{
         hello_message{"entry", "e", "e#1", "d", "a", 5, "p"}, entry_confirm{7, 8, 9},
@@ -74,6 +75,7 @@
     decode(altered);
 }
 
+// Guards against links from processes that lack the fleet key, replay an old hello or alter one.
 TEST(messages, a_hello_without_the_key_or_from_yesterday_is_refused) {
     hello_message hello{"entry", "e", "e#1", "d", "a", 100000, ""};
     hello.proof = compute_proof(hello, "the fleet key");
@@ -84,6 +86,7 @@
     EXPECT_FALSE(has_valid_proof(hello, "the fleet key", 100500));
 }
 
+// Guards against a delta that is applied to the wrong base, and a bundle that was altered after its sign-off.
 TEST(config_delta, a_delta_is_small_and_an_update_without_its_base_or_with_a_wrong_hash_is_refused) {
     config_history history;
     bundle document;
