--- a/src/node/config_delta.cpp
+++ b/src/node/config_delta.cpp
@@ -6,17 +6,17 @@
 
 namespace {
 
-constexpr std::size_t kept_views = 16;
+constexpr std::size_t max_kept_views = 16;
 
 error refused(const std::string& why) {
-    return {error_kind::conflict, why + "; the sender repeats it whole"};
+    return {error_kind::conflict, why + "; the update is ignored until the sender repeats it"};
 }
 
 } // namespace
 
 void config_history::add(const shared_view& view) {
     views_.push_front(view);
-    if (views_.size() > kept_views) {
+    if (views_.size() > max_kept_views) {
         views_.pop_back();
     }
 }
@@ -41,8 +41,8 @@
 
 outcome<shared_view> apply_update(const fleet_view& base, const config_update& update) {
     if (update.base_revision != 0 && update.base_revision != base.revision()) {
-        return refused("a difference to revision " + std::to_string(update.base_revision) + ", held is " +
-                       std::to_string(base.revision()));
+        return refused("delta against revision " + std::to_string(update.base_revision) +
+                       ", but the revision held is " + std::to_string(base.revision()));
     }
     fleet_head head;
     try {
--- a/src/node/entry_control.cpp
+++ b/src/node/entry_control.cpp
@@ -1,6 +1,6 @@
 /** \file
- * The part of the entry that talks with stewards: configuration, freshness, bills, claims, the fleet, and
- * the planned stop.
+ * Communication of the entry with stewards: configuration, freshness, bills, claims, the fleet, and the
+ * planned stop.
  */
 #include "node/entry_core.h"
 
@@ -12,13 +12,13 @@
 
 constexpr duration ask_interval = milliseconds(800);
 constexpr int asks_between_records = 10;
-constexpr duration bill_resend = milliseconds(300);
-constexpr duration spare_holder_after = milliseconds(60);
-constexpr int retry_soon_ms = 500;
+constexpr duration bill_resend_interval = milliseconds(300);
+constexpr duration extra_holder_delay = milliseconds(60);
+constexpr int default_retry_after_ms = 500;
 
-// Copies to \p message what differs between \p now and \p sent, and notes it as sent.
+// Copies to \p message the counts that differ between \p now and \p sent, and records them in \p sent.
 template <class Counts>
-void take_changed(const Counts& now, Counts& sent, Counts& message) {
+void collect_changed(const Counts& now, Counts& sent, Counts& message) {
     for (const auto& [name, counts] : now) {
         const auto held = sent.find(name);
         if (held == sent.end() || held->second != counts) {
@@ -54,7 +54,7 @@
         return;
     }
     std::visit([this, &incarnation](const auto& typed) { on(incarnation, typed); }, message);
-    pump();
+    dispatch_queues();
 }
 
 void entry_core::ask_stewards() {
@@ -73,8 +73,8 @@
             link.sent_record = self;
             link.asks_since_record = 0;
         }
-        take_changed(counts_, link.sent_counts, ask.counts);
-        take_changed(team_counts_, link.sent_teams, ask.teams);
+        collect_changed(counts_, link.sent_counts, ask.counts);
+        collect_changed(team_counts_, link.sent_teams, ask.teams);
         port_.send_to_steward(incarnation, ask);
     }
 }
@@ -82,10 +82,10 @@
 void entry_core::on(const std::string& /*from*/, const entry_confirm& message) {
     const time_point asked_at = from_micros(message.asked_at);
     if (asked_at > now_) {
-        return; // Not an echo of ours: a clock that ran backwards must not make us fresher than we are.
+        return; // Not a time of this clock; accepting it would overstate the freshness.
     }
     freshness_.on_confirmation(asked_at, duration{message.evidence_age}, message.revision);
-    numbers_.gauge("freshness_age_ms", to_ms(freshness_.age(now_)));
+    metrics_.gauge("freshness_age_ms", to_ms(freshness_.age(now_)));
     const outcome<std::string> ready = host_chart_.next(host_state_, "ready");
     if (value_of(ready) != nullptr && is_ready(now_)) {
         host_state_ = *value_of(ready);
@@ -101,7 +101,7 @@
 
 void entry_core::on(const std::string& /*from*/, const config_update& message) {
     if (message.revision <= revision() && !is_disabled("only_forward")) {
-        return; // Doubled or late: a node only ever moves to a higher revision.
+        return; // Duplicate or late: a node only moves to a higher revision.
     }
     const outcome<shared_view> next = apply_update(*base_view_, message);
     if (const error* failure = error_of(next)) {
@@ -120,29 +120,29 @@
         return;
     }
     base_view_ = std::move(next);
-    numbers_.count("configurations_applied");
-    numbers_.gauge("revision", static_cast<double>(revision()));
+    metrics_.count("configurations_applied");
+    metrics_.gauge("revision", static_cast<double>(revision()));
     log_info("configuration_in_force", {{"revision", revision()}});
-    share_slots();
-    apply_notice();
+    update_slot_limits();
+    apply_brake_notice();
     last_ask_ = {};
-    ask_stewards(); // Tells at once that the revision is in force here.
+    ask_stewards(); // Reports at once that the revision is in force here.
 }
 
-bool entry_core::is_notice_current() const {
+bool entry_core::is_brake_notice_current() const {
     const fleet_head& head = base_view_->head();
-    const auto rolling = head.bundles.find(notice_.bundle_id);
-    return !notice_.versions.empty() && head.rolling == notice_.bundle_id && rolling != head.bundles.end() &&
-           rolling->second.epoch == notice_.epoch;
+    const auto rolling = head.bundles.find(brake_notice_.bundle_id);
+    return !brake_notice_.versions.empty() && head.rolling == brake_notice_.bundle_id &&
+           rolling != head.bundles.end() && rolling->second.epoch == brake_notice_.epoch;
 }
 
-// A brake works before it is written to the platform: the versions of the latest notice count as stopped
-// for as long as the roll-out that it speaks of has not been resumed or ended.
-void entry_core::apply_notice() {
+// A brake takes effect before it is written to the platform: the versions of the latest notice count as
+// stopped until their roll-out is resumed, which begins a new epoch, or ends.
+void entry_core::apply_brake_notice() {
     view_ = base_view_;
-    if (is_notice_current()) {
+    if (is_brake_notice_current()) {
         fleet_head head = base_view_->head();
-        for (const version_name& version : notice_.versions) {
+        for (const version_name& version : brake_notice_.versions) {
             head.braked.emplace(version, version_stop{"brake notice", 0, ""});
         }
         std::map<std::string, bundle> documents;
@@ -155,23 +155,25 @@
 }
 
 void entry_core::on(const std::string& /*from*/, const brake_notice& message) {
-    const bool is_same_rollout = message.bundle_id == notice_.bundle_id && message.epoch == notice_.epoch;
-    brake_notice merged = is_same_rollout ? notice_ : brake_notice{message.bundle_id, message.epoch, {}};
+    const bool is_same_rollout =
+        message.bundle_id == brake_notice_.bundle_id && message.epoch == brake_notice_.epoch;
+    brake_notice merged =
+        is_same_rollout ? brake_notice_ : brake_notice{message.bundle_id, message.epoch, {}};
     for (const version_name& version : message.versions) {
         if (std::find(merged.versions.begin(), merged.versions.end(), version) == merged.versions.end()) {
             merged.versions.push_back(version);
         }
     }
-    const bool is_older = message.bundle_id == notice_.bundle_id && message.epoch < notice_.epoch;
-    if (merged == notice_ || is_older) {
+    const bool is_older = message.bundle_id == brake_notice_.bundle_id && message.epoch < brake_notice_.epoch;
+    if (merged == brake_notice_ || is_older) {
         return;
     }
-    notice_ = merged;
+    brake_notice_ = merged;
     log_warning("braked", {{"versions", merged.versions}, {"bundle", merged.bundle_id}});
-    apply_notice();
+    apply_brake_notice();
 }
 
-// Requests that wait, run or are being rated on a version that was just stopped must not reach a caller.
+// No answer of a version that was just stopped may reach a caller, so its open requests are rerouted.
 void entry_core::reroute_open_requests() {
     std::vector<std::string> ids;
     for (const auto& [id, request] : requests_) {
@@ -209,7 +211,7 @@
     request.tier = std::min(request.tier, request.ladder.size() - 1);
     choose_tier(request);
     request.pool = view_->model(request.version())->pool;
-    put_in_lane(request, true);
+    push_to_queue(request, true);
 }
 
 // ---- the fleet ----
@@ -229,11 +231,11 @@
         endpoints_.mark_leaving(name, now_);
     }
     sharers_ = message.sharers;
-    share_slots();
-    assign_limits();
+    update_slot_limits();
+    update_rate_limit_shares();
 }
 
-void entry_core::share_slots() {
+void entry_core::update_slot_limits() {
     for (const bundle* document : {base_view_->established(), base_view_->rolling()}) {
         for (const pool_entry& pool : document == nullptr ? std::vector<pool_entry>{} : document->pools) {
             const auto sharers = sharers_.find(pool.name);
@@ -248,15 +250,15 @@
     }
 }
 
-void entry_core::share_leaving(const std::string& endpoint) {
+void entry_core::announce_leaving_endpoint(const std::string& endpoint) {
     for (const auto& [incarnation, link] : links_) {
         port_.send_to_steward(incarnation, endpoints_leaving{{endpoint}});
     }
 }
 
 std::vector<entry_choice> entry_core::entries_for(const std::string& session) const {
-    constexpr std::size_t most_choices = 6;
-    std::vector<entry_choice> choices = choose_entries(session, entries_, most_choices);
+    constexpr std::size_t max_choices = 6;
+    std::vector<entry_choice> choices = choose_entries(session, entries_, max_choices);
     if (choices.empty() && host_state_ == "serving") {
         choices.push_back({settings_.address, settings_.domain});
     }
@@ -265,8 +267,9 @@
 
 // ---- bills ----
 
-// Two holders in different failure domains are enough; a third is asked only for what one of them does not
-// acknowledge. Sending every record to every steward would double the bytes of each request.
+// Each bill goes to two stewards in different failure domains; the others get only what these have not
+// acknowledged after \c extra_holder_delay. Sending every record to every steward would double the bytes of
+// each request.
 void entry_core::send_bills() {
     if (outbox_.size() == 0) {
         return;
@@ -274,8 +277,9 @@
     std::set<std::string> domains;
     for (const auto& [incarnation, link] : links_) {
         const bool is_preferred = domains.size() < wanted_bill_copies && domains.insert(link.domain).second;
-        const duration least_age = is_preferred ? duration::zero() : spare_holder_after;
-        std::vector<bill_record> unsent = outbox_.take_unsent(incarnation, now_, bill_resend, least_age);
+        const duration least_age = is_preferred ? duration::zero() : extra_holder_delay;
+        std::vector<bill_record> unsent =
+            outbox_.take_unsent(incarnation, now_, bill_resend_interval, least_age);
         if (!unsent.empty()) {
             port_.send_to_steward(incarnation, bill_batch{std::move(unsent)});
         }
@@ -286,9 +290,9 @@
     const std::string domain = links_.at(from).domain;
     for (const bill_key& key : message.keys) {
         outbox_.on_held(key, from, domain);
-        const auto waiting = billing_.find(key);
-        if (waiting != billing_.end()) {
-            check_billed(requests_.at(waiting->second));
+        const auto waiting = request_by_bill_.find(key);
+        if (waiting != request_by_bill_.end()) {
+            check_bill_copies(requests_.at(waiting->second));
         }
     }
 }
@@ -296,9 +300,9 @@
 void entry_core::on(const std::string& /*from*/, const bill_drained& message) {
     for (const bill_key& key : message.keys) {
         outbox_.on_drained(key);
-        const auto waiting = billing_.find(key);
-        if (waiting != billing_.end()) {
-            check_billed(requests_.at(waiting->second));
+        const auto waiting = request_by_bill_.find(key);
+        if (waiting != request_by_bill_.end()) {
+            check_bill_copies(requests_.at(waiting->second));
         }
     }
 }
@@ -315,14 +319,14 @@
         request.holds_claim = true;
         fire(message.operation, "claimed");
     } else if (message.result == "taken") {
-        request.claim_attempt.clear(); // Another's claim: nothing of ours to void.
+        request.claim_attempt.clear(); // The claim of another attempt; there is nothing to void.
         request.taken_claim = message.claim;
         fire(message.operation, "claim_taken");
     } else {
         request.refusal =
             error{error_kind::platform_unavailable,
-                  "the platform cannot take the claim that keeps this call from running twice; come back",
-                  ran_state::no, retry_soon_ms};
+                  "the platform cannot store the claim that keeps this call from running twice; retry later",
+                  ran_state::no, default_retry_after_ms};
         fire(message.operation, "claim_failed");
     }
 }
@@ -343,11 +347,11 @@
     }
     const auto open = requests_.find(key);
     const bool is_own_open = open != requests_.end() && open->second.team.name == team->name;
-    const auto kept = kept_replies_.find({team->name, key});
+    const auto kept = reply_cache_.find({team->name, key});
     if (is_own_open || request_by_key_.count({team->name, key}) > 0) {
         reply.body = {{"request", key}, {"state", "in_progress"}, {"ran", "unknown"}};
         port_.reply(reply);
-    } else if (kept != kept_replies_.end()) {
+    } else if (kept != reply_cache_.end()) {
         reply.body = {
             {"request", key}, {"state", "done"}, {"ran", "yes"}, {"answer", kept->second.reply.body}};
         port_.reply(reply);
@@ -395,15 +399,15 @@
     ask_stewards();
 }
 
-// Callers keep the list of entries for a while, so a host that is leaving goes on accepting until nobody
-// can hold its address any more; then it refuses, finishes what runs and hands over its records. No timer
-// ends a request: a stop that cuts answers is what this is against.
+// Callers cache the list of entries, so a leaving host accepts requests until every cached list has expired;
+// then it refuses new ones, finishes the open ones and hands over its bills. No timer ends an open request: a
+// planned stop must not cut off an answer.
 void entry_core::advance_stop() {
-    if (host_state_ == "leaving" && now_ - stop_began_ >= settings_.callers_keep_answer) {
+    if (host_state_ == "leaving" && now_ - stop_began_ >= settings_.entry_list_cache_time) {
         host_state_ = *value_of(host_chart_.next(host_state_, "unadvertised"));
         last_ask_ = {};
     }
-    if (host_state_ == "draining" && requests_.empty() && is_handed_over()) {
+    if (host_state_ == "draining" && requests_.empty() && are_bills_handed_over()) {
         invariant("planned_stop_cuts_nothing", requests_.empty(), [&] {
             return json{{"open", requests_.size()}};
         });
@@ -412,7 +416,7 @@
     }
 }
 
-bool entry_core::is_handed_over() const {
+bool entry_core::are_bills_handed_over() const {
     return outbox_.least_copies() >= wanted_copies();
 }
 
@@ -424,7 +428,7 @@
     return std::clamp<std::size_t>(domains.size(), 1, wanted_bill_copies);
 }
 
-// ---- messages that an entry never gets from a steward ----
+// ---- messages that an entry never receives from a steward ----
 
 void entry_core::on(const std::string& /*from*/, const hello_message& /*message*/) {}
 void entry_core::on(const std::string& /*from*/, const entry_ask& /*message*/) {}
--- a/src/node/messages.cpp
+++ b/src/node/messages.cpp
@@ -13,7 +13,7 @@
     "lookup_reply", "endpoints_leaving", "brake_notice",  "peer_ask",      "peer_answer"};
 static_assert(type_names.size() == std::variant_size_v<node_message>);
 
-constexpr std::int64_t longest_hello_age_ms = 60000;
+constexpr std::int64_t max_hello_age_ms = 60000;
 
 using body_decoder = node_message (*)(const json&);
 
@@ -29,7 +29,7 @@
 
 constexpr auto decoders = make_decoders(std::make_index_sequence<std::variant_size_v<node_message>>{});
 
-// What a stranger sends may not even be UTF-8; quoting it must not throw.
+// Input from an unauthenticated peer may not be valid UTF-8; quoting it in an error must not throw.
 std::string quoted(const json& part) {
     return part.dump(-1, ' ', false, json::error_handler_t::replace);
 }
@@ -50,7 +50,7 @@
 
 namespace {
 
-// The library throws for some malformed lengths even when told not to.
+// nlohmann::json throws for some malformed lengths even with exceptions disabled.
 json read_cbor(const std::string& bytes) {
     try {
         return json::from_cbor(bytes, true, false);
@@ -82,15 +82,15 @@
     return bad_message("unknown type " + quoted(document[1]));
 }
 
-std::string prove(const hello_message& hello, const std::string& fleet_key) {
+std::string compute_proof(const hello_message& hello, const std::string& fleet_key) {
     hello_message unproven = hello;
     unproven.proof.clear();
     return hmac_hex(fleet_key, json(unproven).dump());
 }
 
-bool is_proven(const hello_message& hello, const std::string& fleet_key, std::int64_t now_ms) {
-    return std::abs(now_ms - hello.at_ms) < longest_hello_age_ms &&
-           equal_in_constant_time(hello.proof, prove(hello, fleet_key));
+bool has_valid_proof(const hello_message& hello, const std::string& fleet_key, std::int64_t now_ms) {
+    return std::abs(now_ms - hello.at_ms) < max_hello_age_ms &&
+           equal_in_constant_time(hello.proof, compute_proof(hello, fleet_key));
 }
 
 } // namespace laurelhoist
