--- a/src/host/entry_host_peers.cpp
+++ b/src/host/entry_host_peers.cpp
@@ -305,7 +305,8 @@
             }
         }
     } else {
-        for_all.insert(for_all.end(), pending_notices.for_trackers.begin(), pending_notices.for_trackers.end());
+        for_all.insert(for_all.end(), pending_notices.for_trackers.begin(),
+                       pending_notices.for_trackers.end());
     }
     for (std::size_t first = 0; first < for_all.size(); first += max_crashes_per_message) {
         const std::size_t last = std::min(for_all.size(), first + max_crashes_per_message);
--- a/src/relay/exchange.cpp
+++ b/src/relay/exchange.cpp
@@ -301,8 +301,9 @@
 }
 
 duration exchange::time_to_capacity(time_point now) const {
-    return add_jitter(state_.endpoints.allowance().time_until_available(service_, now).value_or(retry_after_unavailable),
-                      terms_.id);
+    return add_jitter(
+        state_.endpoints.allowance().time_until_available(service_, now).value_or(retry_after_unavailable),
+        terms_.id);
 }
 
 void exchange::open_connection() {
