--- a/src/host/entry_host.h
+++ b/src/host/entry_host.h
@@ -209,7 +209,7 @@
     time_point reading_since_;
     std::vector<release_counts> told_counts_;   ///< what the last count news said
     std::optional<time_point> hears_all_since_; ///< since when the counts of all hosts come here
-    std::vector<rollout_news> told_decisions_;  ///< what all hosts were told last, but for ages
+    std::vector<rollout_gossip> told_decisions_;  ///< what all hosts were told last, but for ages
     std::optional<time_point> heard_store_at_;  ///< when the store last confirmed the configuration here
     std::map<std::string, time_point>
         due_since_;                      ///< reports not yet shown by the store, by service and state
--- a/src/host/entry_host_peers.cpp
+++ b/src/host/entry_host_peers.cpp
@@ -356,7 +356,7 @@
     if (!is_large_fleet(now)) {
         news.counts = rollouts_.own_counts();
     }
-    news.rollouts = rollouts_.own_news(now);
+    news.rollouts = rollouts_.own_gossip(now);
     news.refused = known_refusals(now);
     news.crashes = relay_.state().quarantine.known(most_crashes_in_round, now);
     news.limits = relay_.state().endpoints.allowance().limits().next_known(most_limits_in_round, now);
@@ -379,7 +379,7 @@
 // To everybody at once: a caller's next request may come to any host, and one that has not heard of its
 // session would move it to another release.
 void entry_host::tell_sessions(time_point now) {
-    const std::vector<session_use> uses = rollouts_.take_session_news(now);
+    const std::vector<session_use> uses = rollouts_.take_session_updates(now);
     if (uses.empty()) {
         return;
     }
--- a/src/host/entry_host_rollouts.cpp
+++ b/src/host/entry_host_rollouts.cpp
@@ -65,7 +65,7 @@
 // bad answers in the second after the move, and the report was made on counts that were 0.8 s old. At each
 // look, a quarter of a second apart, they are there in time.
 void entry_host::tell_counts_of_settling(time_point now) {
-    if (!is_large_fleet(now) || !rollouts_.is_settling()) {
+    if (!is_large_fleet(now) || !rollouts_.awaits_completion()) {
         return;
     }
     const std::vector<release_counts> counts = rollouts_.own_counts();
@@ -91,14 +91,14 @@
     } else if (!hears_all_since_) {
         hears_all_since_ = now;
     }
-    rollouts_.set_hears_all(hears_all_since_ && now - *hears_all_since_ > count_hearing_time);
+    rollouts_.set_has_all_counts(hears_all_since_ && now - *hears_all_since_ > count_hearing_time);
 }
 
 // A brake or a move at once to everybody: from hand to hand it takes two seconds among 295 hosts, in which a
 // bad release goes on getting requests, and a good one is moved late.
 void entry_host::tell_decisions(time_point now) {
-    std::vector<rollout_news> decisions = rollouts_.own_news(now);
-    for (rollout_news& decision : decisions) {
+    std::vector<rollout_gossip> decisions = rollouts_.own_gossip(now);
+    for (rollout_gossip& decision : decisions) {
         decision.age_ms = 0;
     }
     const bool is_new = decisions != told_decisions_;
@@ -106,7 +106,7 @@
     if (is_new && reads_everything() && is_large_fleet(now)) {
         peer_news news;
         news.statuses = {gossip_.self()};
-        news.rollouts = rollouts_.own_news(now);
+        news.rollouts = rollouts_.own_gossip(now);
         send_to_others(gossip_.live(now), encode_peer_message(news));
     }
 }
--- a/src/host/peer_messages.h
+++ b/src/host/peer_messages.h
@@ -32,7 +32,7 @@
     std::vector<host_status> statuses; ///< the sender's first
     std::vector<load_entry> load;
     std::vector<release_counts> counts;
-    std::vector<rollout_news> rollouts;
+    std::vector<rollout_gossip> rollouts;
     std::string beats{};   ///< \ref encode_beats
     bool is_round = false; ///< part of a round: the beats are of all that the sender knows
     std::vector<refused_endpoint> refused{};
--- a/src/node/entry_admission.cpp
+++ b/src/node/entry_admission.cpp
@@ -114,7 +114,7 @@
             lane->second.share_of(request.team.name, [this](const std::string& t) { return weight_of(t); });
         const double slots = std::max(1.0, endpoints_.capacity(request.pool) * share);
         wait_ms = static_cast<double>(lane->second.size_of(request.team.name)) *
-                  endpoints_.typical_ms(request.pool) / slots;
+                  endpoints_.average_latency_ms(request.pool) / slots;
     }
     if (waiting < request.team.max_queued && wait_ms <= queue_budget_share * request.team.latency_budget_ms) {
         return std::nullopt;
--- a/src/node/entry_core.cpp
+++ b/src/node/entry_core.cpp
@@ -230,7 +230,7 @@
     };
     // Look before taking: a request taken from the queue without an endpoint would lose its turn.
     const bool is_service = lane.rfind("service:", 0) == 0;
-    endpoint_wish any;
+    endpoint_criteria any;
     any.version = is_service ? "" : lane;
     const model_entry* model = is_service ? nullptr : view_->model(lane);
     any.pool =
@@ -253,12 +253,12 @@
     }
     // What cannot be done in time any more would only take a slot from what can.
     const auto typical = std::chrono::duration_cast<duration>(
-        std::chrono::duration<double, std::milli>(endpoints_.typical_ms(request.pool)));
+        std::chrono::duration<double, std::milli>(endpoints_.average_latency_ms(request.pool)));
     if (now_ + typical > request.deadline) {
         fire(*id, "expired");
         return true;
     }
-    endpoint_wish wish = wish_for(request);
+    endpoint_criteria wish = wish_for(request);
     std::optional<endpoint_record> endpoint = endpoints_.choose(wish, now_, allowed_within(duration::zero()));
     if (!endpoint) {
         endpoint = endpoints_.choose(any, now_, allowed_within(duration::zero()));
@@ -268,7 +268,7 @@
     return true;
 }
 
-endpoint_wish entry_core::wish_for(const context& request) const {
+endpoint_criteria entry_core::wish_for(const context& request) const {
     return {request.pool, request.is_service() ? "" : request.version(), request.asked.prefix,
             request.avoided};
 }
@@ -335,7 +335,7 @@
     if (!request.is_idempotent) {
         return left;
     }
-    const double typical = endpoints_.typical_ms(request.pool);
+    const double typical = endpoints_.average_latency_ms(request.pool);
     const auto expected = std::chrono::duration_cast<duration>(
         std::chrono::duration<double, std::milli>(typical * call_timeout_factor));
     return std::min(left, std::max(shortest_call_timeout, expected));
@@ -445,7 +445,7 @@
     const std::string id = owner->second;
     context& request = requests_.at(id);
     const std::string endpoint = request.endpoint.name;
-    endpoints_.on_report(endpoint, answer.report, now);
+    endpoints_.on_load_report(endpoint, answer.report, now);
     note_statement(request, answer.says);
     call_result result = answer.result;
     const bool is_answer = result == call_result::answered;
--- a/src/node/entry_core.h
+++ b/src/node/entry_core.h
@@ -37,7 +37,7 @@
 /** Choices that the experiment program varies; the defaults are what the product does. */
 struct entry_policies {
     tier_policy tier = tier_policy::ours;
-    endpoint_policy endpoint = endpoint_policy::ours;
+    endpoint_policy endpoint = endpoint_policy::least_expected_latency;
 };
 
 class entry_core {
@@ -195,7 +195,7 @@
     void pump_lane(const std::string& lane);
     bool try_start(const std::string& lane);
     void start_on(context& request, const endpoint_record& endpoint);
-    endpoint_wish wish_for(const context& request) const;
+    endpoint_criteria wish_for(const context& request) const;
     void end_call(context& request, call_result result);
     bool is_rater_dark() const { return ratings_missed_ >= ratings_missed_to_skip; }
     void take_answer(context& request, const endpoint_answer& answer);
--- a/src/node/steward_core.h
+++ b/src/node/steward_core.h
@@ -166,8 +166,8 @@
     // Roll-out (steward_rollout.cpp).
     void watch_rollout();
     void apply_brake(const std::vector<version_name>& bad);
-    std::vector<version_name> bad_versions(const std::vector<version_standing>& standings) const;
-    std::vector<version_standing> standings() const;
+    std::vector<version_name> bad_versions(const std::vector<version_assessment>& standings) const;
+    std::vector<version_assessment> standings() const;
     std::vector<model_entry> established_models() const;
     void take_step(step_action action);
     bool is_my_turn(duration waited) const;
@@ -226,7 +226,7 @@
     bool is_writing_counts_ = false;
 
     evidence_pool evidence_;
-    step_watch step_watch_;
+    bake_timer step_watch_;
     time_point wish_since_;
     std::string wish_;
     std::map<std::string, std::vector<version_name>> loaded_;
--- a/src/node/steward_rollout.cpp
+++ b/src/node/steward_rollout.cpp
@@ -19,8 +19,8 @@
 
 } // namespace
 
-std::vector<version_standing> steward_core::standings() const {
-    std::vector<version_standing> all;
+std::vector<version_assessment> steward_core::standings() const {
+    std::vector<version_assessment> all;
     for (const version_name& version : view_->versions_under_rollout()) {
         const model_entry* model = view_->model(version);
         version_counts established;
@@ -30,8 +30,8 @@
             }
         }
         const version_counts counts = evidence_.total(evidence_key(*view_, version));
-        const brake_limits limits = limits_for(model->prior_quality, established, view_->rolling()->rollout);
-        all.push_back({judge(counts, limits), counts.rated + counts.failed});
+        const brake_hypotheses limits = hypotheses_for(model->prior_quality, established, view_->rolling()->rollout);
+        all.push_back({evaluate(counts, limits), counts.rated + counts.failed});
     }
     return all;
 }
@@ -40,7 +40,7 @@
     return view_->established() == nullptr ? std::vector<model_entry>{} : view_->established()->models;
 }
 
-std::vector<version_name> steward_core::bad_versions(const std::vector<version_standing>& standings) const {
+std::vector<version_name> steward_core::bad_versions(const std::vector<version_assessment>& standings) const {
     std::vector<version_name> bad;
     const std::vector<version_name> versions = view_->versions_under_rollout();
     for (std::size_t i = 0; i < versions.size(); ++i) {
@@ -68,11 +68,11 @@
     if (view_->rolling() == nullptr || host_state_ != "serving") {
         return;
     }
-    const std::vector<version_standing> known = standings();
+    const std::vector<version_assessment> known = standings();
     const std::vector<version_name> bad = bad_versions(known);
     const bundle_status& status = view_->head().bundles.at(view_->head().rolling);
     const step_action action =
-        next_step(*view_->rolling(), status, step_watch_.watched(now_), is_loaded_for_next_step(), known);
+        next_step(*view_->rolling(), status, step_watch_.elapsed(now_), is_loaded_for_next_step(), known);
     const std::string wish = !bad.empty() ? "brake" : action == step_action::wait ? "" : "step";
     const std::string wish_now = wish.empty() ? "" : wish + std::to_string(view_->revision());
     if (wish_now != wish_) {
--- a/src/placement/endpoint_directory.cpp
+++ b/src/placement/endpoint_directory.cpp
@@ -219,7 +219,7 @@
     return prefers_own_domain_ && endpoint.name != home ? unseen_domain_ms : other_domain_ms;
 }
 
-std::optional<placement> endpoint_directory::choose(const endpoint_wish& wish, const prompt_shape& prompt,
+std::optional<placement> endpoint_directory::choose(const endpoint_criteria& wish, const prompt_shape& prompt,
                                                     const model_demand& model, time_point now) {
     const std::vector<endpoint_record> candidates =
         table_.eligible(wish, now, [&](const endpoint_record& endpoint) {
@@ -253,7 +253,7 @@
 }
 
 void endpoint_directory::on_sent(const placement& chosen, const prompt_shape& prompt,
-                                 const endpoint_wish& wish, time_point now) {
+                                 const endpoint_criteria& wish, time_point now) {
     const std::string& name = chosen.endpoint.name;
     table_.on_call_started(name, wish, now);
     allowance_.on_sent(name, now);
--- a/src/placement/endpoint_directory.h
+++ b/src/placement/endpoint_directory.h
@@ -81,7 +81,7 @@
     const send_allowance& allowance() const { return allowance_; }
 
     /** \return the endpoint to send to, or nothing if none takes work now */
-    std::optional<placement> choose(const endpoint_wish& wish, const prompt_shape& prompt,
+    std::optional<placement> choose(const endpoint_criteria& wish, const prompt_shape& prompt,
                                     const model_demand& model, time_point now);
     /** \return whether some endpoint of \p service takes requests of this host now or very soon. */
     bool could_serve(const std::string& service, time_point now) const;
@@ -89,7 +89,7 @@
     std::map<send_bar, int> bars_of(const std::string& service, time_point now) const;
     std::size_t size() const { return table_.size(); }
 
-    void on_sent(const placement& chosen, const prompt_shape& prompt, const endpoint_wish& wish,
+    void on_sent(const placement& chosen, const prompt_shape& prompt, const endpoint_criteria& wish,
                  time_point now);
     /** The answer's first byte has come. */
     void on_first_byte(const placement& chosen);
--- a/src/programs/laurel_bench.cpp
+++ b/src/programs/laurel_bench.cpp
@@ -142,7 +142,7 @@
     result_table table("endpoint", {"report_lag_ms", "policy", "first_token_p50_ms", "first_token_p95_ms",
                                     "first_token_p99_ms", "prefix_hit_share", "whole_share"});
     const std::pair<const char*, endpoint_policy> policies[] = {
-        {"ours", endpoint_policy::ours},
+        {"ours", endpoint_policy::least_expected_latency},
         {"round_robin", endpoint_policy::round_robin},
         {"random", endpoint_policy::random},
         {"least_in_flight", endpoint_policy::least_in_flight}};
@@ -253,18 +253,18 @@
     constexpr int rollouts = 20000;
     constexpr int longest = 2000;
     for (const double quality : {0.8, 0.9, 0.97}) {
-        const brake_limits limits = limits_for(quality, {}, {});
+        const brake_hypotheses limits = hypotheses_for(quality, {}, {});
         for (const double extra : {0.0, 0.02, 0.1, 0.2, 0.4, 0.6}) {
             const double bad_share = std::min(0.99, 1 - quality + extra);
             int braked = 0;
             std::vector<double> answers;
             for (int i = 0; i < rollouts; ++i) {
                 version_counts counts;
-                while (counts.rated < longest && judge(counts, limits) == brake_verdict::undecided) {
+                while (counts.rated < longest && evaluate(counts, limits) == brake_verdict::undecided) {
                     ++counts.rated;
                     counts.below += random.chance(bad_share) ? 1 : 0;
                 }
-                braked += judge(counts, limits) == brake_verdict::braked ? 1 : 0;
+                braked += evaluate(counts, limits) == brake_verdict::braked ? 1 : 0;
                 answers.push_back(static_cast<double>(counts.rated));
             }
             double sum = 0;
--- a/src/relay/exchange.cpp
+++ b/src/relay/exchange.cpp
@@ -206,20 +206,20 @@
     }
 }
 
-endpoint_wish exchange::make_wish() const {
+endpoint_criteria exchange::make_wish() const {
     const release_choice release =
         state_.releases.choose(service_, {terms_.session, terms_.id, !tried_.empty()}, monotonic_now());
-    endpoint_wish wish;
+    endpoint_criteria wish;
     wish.pool = service_;
     wish.avoided = tried_;
     wish.release = release.required;
-    wish.unwanted_release = release.unwanted;
+    wish.excluded_release = release.excluded;
     wish.endpoint_share = state_.settings.in_use.tries_few_endpoints ? release.endpoint_share : 1.0;
     return wish;
 }
 
 exchange::model_placements exchange::placements_from(std::size_t least_size, std::size_t most,
-                                                     const endpoint_wish& wish, time_point now) {
+                                                     const endpoint_criteria& wish, time_point now) {
     model_placements found;
     const std::size_t sizes = std::max<std::size_t>(1, route_->models.size());
     for (std::size_t size = least_size; size < sizes && size - least_size < most; ++size) {
@@ -234,7 +234,7 @@
 }
 
 bool exchange::choose(time_point now) {
-    const endpoint_wish wish = make_wish();
+    const endpoint_criteria wish = make_wish();
     // The smallest first; one whose answer was not good enough goes to the largest that is still in time.
     const bool is_step_up = least_size_ > 0;
     const model_placements found = placements_from(least_size_, is_step_up ? most_sizes : 1, wish, now);
@@ -432,7 +432,7 @@
     follow_up(end);
 }
 
-release_use exchange::release_key() const {
+release_route exchange::release_key() const {
     return {service_, attempt_.chosen.endpoint.release, route_->name};
 }
 
--- a/src/relay/exchange.h
+++ b/src/relay/exchange.h
@@ -38,7 +38,7 @@
 private:
     struct attempt {
         placement chosen;
-        endpoint_wish wish;
+        endpoint_criteria wish;
         std::string model;
         std::size_t model_rank = 0;
         time_point sent_at;
@@ -66,10 +66,10 @@
         std::vector<model_option> options;
         std::vector<placement> placements;
     };
-    endpoint_wish make_wish() const;
+    endpoint_criteria make_wish() const;
     static constexpr std::size_t most_sizes = std::numeric_limits<std::size_t>::max();
     /** \return where models of the route could answer, from \p least_size on, at most \p most of them. */
-    model_placements placements_from(std::size_t least_size, std::size_t most, const endpoint_wish& wish,
+    model_placements placements_from(std::size_t least_size, std::size_t most, const endpoint_criteria& wish,
                                      time_point now);
     bool choose(time_point now);
     /** \return what is left of the objective for the first event of a larger model. */
@@ -126,7 +126,7 @@
     suspected_end end_under_this();
     void note_answered();
     attempt_record record() const;
-    release_use release_key() const;
+    release_route release_key() const;
 
     relay& owner_;
     relay_state& state_;
--- a/src/relay/exchange_answers.cpp
+++ b/src/relay/exchange_answers.cpp
@@ -129,7 +129,7 @@
     // backlogs long, and judged by these nothing that it did would be slow (1.9 s in place of 0.1 s were
     // not).
     const double expected_ms = prompt_.is_empty() ? 0 : attempt_.chosen.reading_ms;
-    attempt_.is_judged_slow = state_.releases.on_begun(release_key(), {took, expected_ms});
+    attempt_.is_judged_slow = state_.releases.on_first_byte_received(release_key(), {took, expected_ms});
     state_.endpoints.on_first_byte(attempt_.chosen);
     note_load_change();
     if (!attempt_.model.empty()) {
--- a/src/rollout/brake.h
+++ b/src/rollout/brake.h
@@ -19,17 +19,17 @@
 constexpr double missed_brake_chance = 0.01;
 
 /** The two hypotheses that the test tells apart. */
-struct brake_limits {
-    double good_bad_share = 0.13;
-    double bad_bad_share = 0.5;
+struct brake_hypotheses {
+    double acceptable_bad_share = 0.13;
+    double unacceptable_bad_share = 0.5;
 };
 
 /** \param stated_quality the quality that the operators signed off for the new version
  * \param established the counts of the established version of the same model, which shift the baseline
  *        when the rater turns harsh for everybody, so that a drifting rater does not brake good versions */
-brake_limits limits_for(double stated_quality, const version_counts& established, const rollout_plan& plan);
+brake_hypotheses hypotheses_for(double stated_quality, const version_counts& established, const rollout_plan& plan);
 
 /** \return the verdict on a version with \p counts. */
-brake_verdict judge(const version_counts& counts, const brake_limits& limits);
+brake_verdict evaluate(const version_counts& counts, const brake_hypotheses& hypotheses);
 
 } // namespace laurelhoist
--- a/src/rollout/release_rollout.cpp
+++ b/src/rollout/release_rollout.cpp
@@ -9,65 +9,65 @@
 namespace {
 
 /// Of the exposure bound, while the release is on trial; the rest is for the move.
-constexpr double trial_part_of_bound = 0.4;
+constexpr double trial_exposure_fraction = 0.4;
 /// Of the hashes of sessions, those that may be chosen for any trial; only they are remembered.
-constexpr double largest_trial_share = 0.2;
+constexpr double max_trial_share = 0.2;
 /// In which the hosts tell one another of the sessions that they have served, before the trial begins.
-constexpr duration session_exchange = milliseconds(1200);
+constexpr duration session_exchange_time = milliseconds(1200);
 /// The rate in the move may be so much above the mean of the roll-out, in a burst of the usual size.
 constexpr double rate_margin = 1.25;
 constexpr duration rate_window = milliseconds(1500); ///< three rounds of gossip, so that all hosts are in it
 /// A host that has just started has not heard the counts of the others yet, and leaves it to them when to
 /// move.
-constexpr duration hearing_time = milliseconds(2000);
-constexpr std::int64_t least_good_answers = 10; ///< before everything is moved
+constexpr duration count_exchange_time = milliseconds(2000);
+constexpr std::int64_t min_good_answers = 10; ///< before everything is moved
 /// Nothing is reported before every host has had time to move (they act within 0.25 s, on counts that are 0.4
 /// s old).
-constexpr duration settling_time = milliseconds(700);
+constexpr duration min_time_after_cutover = milliseconds(700);
 /// Before the time limit, when the report is made; streams that still run on the old release go on at the new
 /// one. Until then the old release stands ready for a brake: what shows only under everybody's load shows
 /// now. One began to fail 0.45 s after the move; reported 0.3 s later, 0.8 s before the limit, it failed half
 /// of all requests for the rest of the day. Another host's try fits in.
 constexpr duration report_margin = milliseconds(500);
 /// Evidence that brakes: a good release reaches it once in 2,000 roll-outs.
-constexpr double braking_evidence = 7.6;
+constexpr double rollback_evidence = 7.6;
 /// Evidence with which nothing is moved or reported complete: two bad answers more than good ones outweigh.
 /// Three bad answers of a slow trial let half of all requests fail after the move.
 constexpr double suspicious_evidence = 2.5;
 /// Fewer bad answers since the move say nothing: faults of single endpoints give as many.
-constexpr double least_bad_answers = 5;
+constexpr double min_bad_answers = 5;
 /// A release is good up to this much above the old one's share of bad answers, and bad from the other on.
-constexpr double usual_quality = 0.98; ///< share of good answers, until the old release has shown its own
+constexpr double default_good_share = 0.98; ///< share of good answers, until the old release has shown its own
 constexpr double tolerated_drop = 0.04;
 constexpr double braked_drop = 0.25;
-constexpr std::int64_t enough_for_mean = 20;
+constexpr std::int64_t min_samples_for_mean = 20;
 constexpr double slow_factor = 4.0;
 /// Of every answer, beside what its prompt takes to read: the network, a step of the engine and the usual
 /// wait.
-constexpr double usual_overhead_ms = 50.0;
-constexpr double least_slow_ms =
+constexpr double fixed_overhead_ms = 50.0;
+constexpr double min_slow_excess_ms =
     150.0; ///< more than the old release's mean, so that small times do not count
 constexpr double smoothing = 0.05;
 /// An answer that is under way for so many times as long as usual crawls: the longest prompts and answers
 /// take three times as long as the mean.
-constexpr double crawling_factor = 4.0;
+constexpr double overdue_factor = 4.0;
 /// Never sooner: an endpoint that has fallen silent is given up within this, and says nothing of its release.
-constexpr duration least_crawling = milliseconds(8000);
-constexpr duration crawling_if_unknown = milliseconds(10'000); ///< until the usual length is known
+constexpr duration min_overdue = milliseconds(8000);
+constexpr duration default_overdue = milliseconds(10'000); ///< until the usual length is known
 
-double share_point(const std::string& subject) {
+double hash_fraction(const std::string& subject) {
     constexpr std::uint64_t parts = 10'000;
     return static_cast<double>(placement_hash("release/" + subject) % parts) / static_cast<double>(parts);
 }
 
-brake_limits release_limits(std::int64_t good, std::int64_t bad) {
+brake_hypotheses release_hypotheses(std::int64_t good, std::int64_t bad) {
     version_counts established;
     established.rated = good;
     established.failed = bad;
     rollout_plan plan;
     plan.tolerated_drop = tolerated_drop;
     plan.braked_drop = braked_drop;
-    return limits_for(usual_quality, established, plan);
+    return hypotheses_for(default_good_share, established, plan);
 }
 
 } // namespace
@@ -88,24 +88,24 @@
 
 // Against a report that comes after the order's time limit: an order was written while the store, about to
 // drop its history, told its watches nothing. Counted from when it was heard of, its end was 0.5 s late.
-void rollout_tracker::set_orders(const std::vector<rollout_order>& orders, time_point now, duration unheard) {
+void rollout_tracker::set_orders(const std::vector<rollout_order>& orders, time_point now, duration max_order_age) {
     std::set<std::string> services;
     for (const rollout_order& order : orders) {
         services.insert(order.service);
-        const auto found = tracks_.find(order.service);
-        if (found != tracks_.end() && found->second.order.release == order.release) {
+        const auto found = rollouts_.find(order.service);
+        if (found != rollouts_.end() && found->second.order.release == order.release) {
             found->second.order = order;
             continue;
         }
-        track started;
+        rollout_record started;
         started.order = order;
-        started.since = now - unheard;
+        started.since = now - max_order_age;
         started.seen_at = now;
         started.counted_at = now;
         started.trial_share = new_trial_share(order);
-        tracks_[order.service] = started;
-        for (auto& [use, counts] : own_) {
-            if (use.service == order.service) {
+        rollouts_[order.service] = started;
+        for (auto& [key, counts] : own_) {
+            if (key.service == order.service) {
                 counts.sent_in_rollout = 0;
             }
         }
@@ -113,15 +113,15 @@
                                   {"release", order.release},
                                   {"state", to_string(order.state)},
                                   {"limit_ms", to_ms(order.time_limit)},
-                                  {"unheard_ms", to_ms(unheard)}});
+                                  {"unheard_ms", to_ms(max_order_age)}});
     }
-    for (auto item = tracks_.begin(); item != tracks_.end();) {
-        item = services.count(item->first) > 0 ? std::next(item) : tracks_.erase(item);
+    for (auto item = rollouts_.begin(); item != rollouts_.end();) {
+        item = services.count(item->first) > 0 ? std::next(item) : rollouts_.erase(item);
     }
 }
 
-bool rollout_tracker::is_settling() const {
-    return std::any_of(tracks_.begin(), tracks_.end(), [](const auto& item) {
+bool rollout_tracker::awaits_completion() const {
+    return std::any_of(rollouts_.begin(), rollouts_.end(), [](const auto& item) {
         return is_open(item.second) && item.second.has_moved && !item.second.is_braked;
     });
 }
@@ -140,7 +140,7 @@
     return count == found->second.end() ? 0 : count->second;
 }
 
-int rollout_tracker::endpoints_of_others(const std::string& service, const std::string& release) const {
+int rollout_tracker::endpoints_of_other_releases(const std::string& service, const std::string& release) const {
     const auto found = endpoints_.find(service);
     int count = 0;
     if (found != endpoints_.end()) {
@@ -154,175 +154,175 @@
 // As much as one endpoint carries: it shows what the release does under the usual load, and the rest of the
 // requests are safe from it.
 double rollout_tracker::new_trial_share(const rollout_order& order) const {
-    const int old = std::max(1, endpoints_of_others(order.service, order.release));
-    return std::min({1.0 / old, trial_part_of_bound * settings_.exposure_share, largest_trial_share});
+    const int old_endpoints = std::max(1, endpoints_of_other_releases(order.service, order.release));
+    return std::min({1.0 / old_endpoints, trial_exposure_fraction * settings_.exposure_share, max_trial_share});
 }
 
 bool rollout_tracker::is_in_trial_group(const std::string& service, const std::string& session) const {
-    const auto found = tracks_.find(service);
-    const double share = found == tracks_.end() ? largest_trial_share : found->second.trial_share;
-    return !session.empty() && share_point(session) < share;
+    const auto found = rollouts_.find(service);
+    const double share = found == rollouts_.end() ? max_trial_share : found->second.trial_share;
+    return !session.empty() && hash_fraction(session) < share;
 }
 
-bool rollout_tracker::is_for_new_release(const track& rollout, const release_subject& request,
+bool rollout_tracker::is_for_new_release(const rollout_record& rollout, const routed_request& request,
                                          time_point now) const {
     const std::string& subject = request.session.empty() ? request.id : request.session;
     if (rollout.has_moved) {
         return true;
     }
-    if (!rollout.is_on_trial || request.is_repeat || share_point(subject) >= rollout.trial_share) {
+    if (!rollout.is_on_trial || request.is_retry || hash_fraction(subject) >= rollout.trial_share) {
         return false;
     }
     const std::uint64_t session = placement_hash(request.session);
     return request.session.empty() || !sessions_.is_recent(rollout.order.service, session, now);
 }
 
-release_choice rollout_tracker::choose(const std::string& service, const release_subject& request,
+release_choice rollout_tracker::choose(const std::string& service, const routed_request& request,
                                        time_point now) const {
-    const auto found = tracks_.find(service);
-    if (found == tracks_.end()) {
+    const auto found = rollouts_.find(service);
+    if (found == rollouts_.end()) {
         return {};
     }
-    const track& rollout = found->second;
+    const rollout_record& rollout = found->second;
     const std::string& release = rollout.order.release;
-    const bool has_fresh = endpoints_of(service, release) > 0;
+    const bool has_new = endpoints_of(service, release) > 0;
     // Against a brake that crosses another host's report of completion: the old endpoints stop with that
     // report, and hosts that went by the brake would find no endpoint at all. What the store says is over
     // holds for every host alike.
     if (rollout.order.state == rollout_state::completed) {
-        return {has_fresh ? release : std::string{}, ""};
+        return {has_new ? release : std::string{}, ""};
     }
     if (rollout.is_braked || rollout.order.state == rollout_state::rolled_back) {
         return {"", release};
     }
-    const bool has_old = endpoints_of_others(service, release) > 0;
+    const bool has_old = endpoints_of_other_releases(service, release) > 0;
     if (!has_old) {
         return {release, ""};
     }
-    if (!has_fresh || !is_for_new_release(rollout, request, now)) {
+    if (!has_new || !is_for_new_release(rollout, request, now)) {
         return {"", release};
     }
     return {release, "", rollout.has_moved ? 1.0 : rollout.trial_share};
 }
 
-void rollout_tracker::on_started(const release_use& use, const std::string& session, time_point now) {
-    release_counts& counts = own_[use];
-    counts.service = use.service;
-    counts.release = use.release;
-    counts.route = use.route;
+void rollout_tracker::on_started(const release_route& key, const std::string& session, time_point now) {
+    release_counts& counts = own_[key];
+    counts.service = key.service;
+    counts.release = key.release;
+    counts.route = key.route;
     ++counts.sent_in_rollout;
-    under_way_[use].insert(now);
-    const auto found = tracks_.find(use.service);
-    const bool is_old = found == tracks_.end() || found->second.order.release != use.release;
-    if (is_old && is_in_trial_group(use.service, session)) {
-        sessions_.on_started(use.service, placement_hash(session), now);
+    under_way_[key].insert(now);
+    const auto found = rollouts_.find(key.service);
+    const bool is_old = found == rollouts_.end() || found->second.order.release != key.release;
+    if (is_old && is_in_trial_group(key.service, session)) {
+        sessions_.on_started(key.service, placement_hash(session), now);
     }
 }
 
-void rollout_tracker::on_finished(const release_use& use, const std::string& session, time_point now,
+void rollout_tracker::on_finished(const release_route& key, const std::string& session, time_point now,
                                   std::optional<time_point> started_at, bool is_whole) {
-    std::multiset<time_point>& starts = under_way_[use];
+    std::multiset<time_point>& starts = under_way_[key];
     const auto ended = started_at ? starts.find(*started_at) : starts.begin();
     if (ended != starts.end()) {
         starts.erase(ended);
     }
-    const auto found = tracks_.find(use.service);
-    const bool is_fresh = found != tracks_.end() && found->second.order.release == use.release;
-    if (is_whole && started_at && !is_fresh) {
-        learn(usual_lengths_[{use.service, "", use.route}], to_ms(now - *started_at));
+    const auto found = rollouts_.find(key.service);
+    const bool is_new_release = found != rollouts_.end() && found->second.order.release == key.release;
+    if (is_whole && started_at && !is_new_release) {
+        update_mean(mean_durations_[{key.service, "", key.route}], to_ms(now - *started_at));
     }
     if (!session.empty()) {
-        sessions_.on_finished(use.service, placement_hash(session), now);
+        sessions_.on_finished(key.service, placement_hash(session), now);
     }
 }
 
-bool rollout_tracker::is_open(const track& rollout) {
+bool rollout_tracker::is_open(const rollout_record& rollout) {
     return rollout.order.state == rollout_state::ordered || rollout.order.state == rollout_state::running;
 }
 
 bool rollout_tracker::is_open() const {
-    return std::any_of(tracks_.begin(), tracks_.end(), [](const auto& item) { return is_open(item.second); });
+    return std::any_of(rollouts_.begin(), rollouts_.end(), [](const auto& item) { return is_open(item.second); });
 }
 
-std::vector<session_use> rollout_tracker::take_session_news(time_point now) {
+std::vector<session_use> rollout_tracker::take_session_updates(time_point now) {
     sessions_.forget_old(now);
-    const bool is_wanted = std::any_of(tracks_.begin(), tracks_.end(), [&](const auto& item) {
-        const track& rollout = item.second;
+    const bool is_wanted = std::any_of(rollouts_.begin(), rollouts_.end(), [&](const auto& item) {
+        const rollout_record& rollout = item.second;
         return is_open(rollout) && !rollout.is_braked && now - rollout.since < rollout.order.time_limit / 2;
     });
-    return is_wanted ? sessions_.take_news(now) : std::vector<session_use>{};
+    return is_wanted ? sessions_.take_updates(now) : std::vector<session_use>{};
 }
 
 // Told by the ratio of the measured to the expected time: a larger model or a longer prompt takes several
-// times as long on any release, and that must not speak against one of them. Both releases are judged alike.
-bool rollout_tracker::is_slow(const release_use& use, const response_timing& timing) {
+// times as long on any release, and that must not speak against one of them. Both releases are included alike.
+bool rollout_tracker::is_slow(const release_route& key, const response_timing& timing) {
     const double ms = to_ms(timing.first_byte);
     const bool has_expectation = timing.expected_ms > 0;
-    const double measure = has_expectation ? ms / (timing.expected_ms + usual_overhead_ms) : ms;
-    usual_time& usual = usual_times_[{use.service, "", use.route}];
-    const double expected = has_expectation ? timing.expected_ms : usual.mean;
-    const bool is_far_off = ms > expected + least_slow_ms && measure > usual.mean * slow_factor;
-    const bool is_judged = usual.count >= enough_for_mean;
-    const auto found = tracks_.find(use.service);
-    const bool is_fresh = found != tracks_.end() && found->second.order.release == use.release;
-    if (!is_fresh) {
-        learn(usual, measure);
+    const double measure = has_expectation ? ms / (timing.expected_ms + fixed_overhead_ms) : ms;
+    running_mean& average = mean_first_byte_[{key.service, "", key.route}];
+    const double expected = has_expectation ? timing.expected_ms : average.mean;
+    const bool is_much_slower = ms > expected + min_slow_excess_ms && measure > average.mean * slow_factor;
+    const bool has_enough_samples = average.count >= min_samples_for_mean;
+    const auto found = rollouts_.find(key.service);
+    const bool is_new_release = found != rollouts_.end() && found->second.order.release == key.release;
+    if (!is_new_release) {
+        update_mean(average, measure);
     }
-    return is_judged && is_far_off;
+    return has_enough_samples && is_much_slower;
 }
 
-duration rollout_tracker::longest_usual(const release_use& use) const {
-    const auto usual = usual_lengths_.find({use.service, "", use.route});
-    if (usual == usual_lengths_.end() || usual->second.count < enough_for_mean) {
-        return crawling_if_unknown;
+duration rollout_tracker::overdue_after(const release_route& key) const {
+    const auto mean = mean_durations_.find({key.service, "", key.route});
+    if (mean == mean_durations_.end() || mean->second.count < min_samples_for_mean) {
+        return default_overdue;
     }
-    const auto longest = std::chrono::duration<double, std::milli>(usual->second.mean * crawling_factor);
-    return std::max(least_crawling, std::chrono::duration_cast<duration>(longest));
+    const auto threshold = std::chrono::duration<double, std::milli>(mean->second.mean * overdue_factor);
+    return std::max(min_overdue, std::chrono::duration_cast<duration>(threshold));
 }
 
 // A stream may begin in time and then crawl. Judged at its end, which comes when its caller has given up or
 // its time is over, it speaks against its release only after everything has moved there.
-void rollout_tracker::find_crawling(const track& rollout, time_point now) {
-    for (auto& [use, starts] : under_way_) {
-        if (use.service != rollout.order.service || use.release != rollout.order.release) {
+void rollout_tracker::count_overdue(const rollout_record& rollout, time_point now) {
+    for (auto& [key, starts] : under_way_) {
+        if (key.service != rollout.order.service || key.release != rollout.order.release) {
             continue;
         }
-        const duration longest = longest_usual(use);
-        while (!starts.empty() && now - *starts.begin() > longest) {
+        const duration threshold = overdue_after(key);
+        while (!starts.empty() && now - *starts.begin() > threshold) {
             starts.erase(starts.begin());
-            ++own_[use].bad;
+            ++own_[key].bad;
         }
     }
 }
 
 // At the beginning of an answer and not at its end: streams of a release that was eight times as slow ended
 // 15 s after they were asked for, and everything had moved by then.
-bool rollout_tracker::on_begun(const release_use& use, const response_timing& timing) {
-    if (!is_slow(use, timing)) {
+bool rollout_tracker::on_first_byte_received(const release_route& key, const response_timing& timing) {
+    if (!is_slow(key, timing)) {
         return false;
     }
-    ++own_[use].bad;
+    ++own_[key].bad;
     return true;
 }
 
-void rollout_tracker::on_outcome(const release_use& use, bool is_good) {
-    release_counts& counts = own_[use];
+void rollout_tracker::on_outcome(const release_route& key, bool is_good) {
+    release_counts& counts = own_[key];
     ++(is_good ? counts.good : counts.bad);
 }
 
 std::vector<release_counts> rollout_tracker::own_counts() const {
     std::vector<release_counts> counts;
-    for (const auto& [use, seen] : own_) {
-        if (tracks_.count(use.service) > 0) {
+    for (const auto& [key, seen] : own_) {
+        if (rollouts_.count(key.service) > 0) {
             counts.push_back(seen);
         }
     }
     return counts;
 }
 
-std::vector<rollout_news> rollout_tracker::own_news(time_point now) const {
-    std::vector<rollout_news> news;
-    for (const auto& [service, rollout] : tracks_) {
+std::vector<rollout_gossip> rollout_tracker::own_gossip(time_point now) const {
+    std::vector<rollout_gossip> news;
+    for (const auto& [service, rollout] : rollouts_) {
         const auto age = std::chrono::duration_cast<milliseconds>(now - rollout.since).count();
         news.push_back(
             {service, rollout.order.release, age, rollout.is_braked, rollout.trial_share, rollout.has_moved});
@@ -331,7 +331,7 @@
 }
 
 void rollout_tracker::merge(const std::string& host, const std::vector<release_counts>& counts,
-                            const std::vector<rollout_news>& news, time_point now) {
+                            const std::vector<rollout_gossip>& news, time_point now) {
     for (const release_counts& seen : counts) {
         release_counts& held = by_host_[host][{seen.service, seen.release, seen.route}];
         const std::int64_t good = std::max(held.good, seen.good);
@@ -340,9 +340,9 @@
         held.good = good;
         held.bad = bad;
     }
-    for (const rollout_news& item : news) {
-        const auto found = tracks_.find(item.service);
-        if (found == tracks_.end() || found->second.order.release != item.release) {
+    for (const rollout_gossip& item : news) {
+        const auto found = rollouts_.find(item.service);
+        if (found == rollouts_.end() || found->second.order.release != item.release) {
             continue;
         }
         // The eldest age heard: a host that has just started takes over the time of the others, and the share
@@ -355,17 +355,17 @@
         found->second.is_braked = found->second.is_braked || item.is_braked;
         // Hosts that have restarted count less and would move late, one by one, up to the time limit.
         if (item.has_moved) {
-            move_everything(found->second, now);
+            cut_over(found->second, now);
         }
     }
 }
 
 template <class Visit>
 void rollout_tracker::for_each_count(const std::string& service, const Visit& visit) const {
-    const auto visit_all = [&](const std::map<release_use, release_counts>& uses) {
-        for (const auto& [use, counts] : uses) {
-            if (use.service == service) {
-                visit(use, counts);
+    const auto visit_all = [&](const std::map<release_route, release_counts>& uses) {
+        for (const auto& [key, counts] : uses) {
+            if (key.service == service) {
+                visit(key, counts);
             }
         }
     };
@@ -375,17 +375,17 @@
     }
 }
 
-void rollout_tracker::learn(usual_time& usual, double measured) {
-    usual.mean += (usual.count == 0 ? 1.0 : smoothing) * (measured - usual.mean);
-    ++usual.count;
+void rollout_tracker::update_mean(running_mean& average, double measured) {
+    average.mean += (average.count == 0 ? 1.0 : smoothing) * (measured - average.mean);
+    ++average.count;
 }
 
-rollout_tracker::totals rollout_tracker::total_of(const track& rollout, const std::string& route,
+rollout_tracker::totals rollout_tracker::total_of(const rollout_record& rollout, const std::string& route,
                                                   bool of_new_release) const {
     totals sum;
-    for_each_count(rollout.order.service, [&](const release_use& use, const release_counts& counts) {
-        const bool is_new = use.release == rollout.order.release;
-        if ((route.empty() || use.route == route) && is_new == of_new_release) {
+    for_each_count(rollout.order.service, [&](const release_route& key, const release_counts& counts) {
+        const bool is_new = key.release == rollout.order.release;
+        if ((route.empty() || key.route == route) && is_new == of_new_release) {
             sum.good += counts.good;
             sum.bad += counts.bad;
         }
@@ -395,42 +395,42 @@
 
 std::int64_t rollout_tracker::good_answers_of(const std::string& service, const std::string& release) const {
     std::int64_t sum = 0;
-    for_each_count(service, [&](const release_use& use, const release_counts& counts) {
-        sum += use.release == release ? counts.good : 0;
+    for_each_count(service, [&](const release_route& key, const release_counts& counts) {
+        sum += key.release == release ? counts.good : 0;
     });
     return sum;
 }
 
 // Evidence never falls below zero: a release that turns bad after hundreds of good answers is braked as
 // soon as one that was bad from the start.
-void rollout_tracker::weigh(track& rollout) {
+void rollout_tracker::update_evidence(rollout_record& rollout) {
     std::set<std::string> routes;
-    for_each_count(rollout.order.service, [&](const release_use& use, const release_counts&) {
-        if (use.release == rollout.order.release) {
-            routes.insert(use.route);
+    for_each_count(rollout.order.service, [&](const release_route& key, const release_counts&) {
+        if (key.release == rollout.order.release) {
+            routes.insert(key.route);
         }
     });
     for (const std::string& route : routes) {
-        const totals fresh = total_of(rollout, route, true);
-        const totals old = total_of(rollout, route, false);
-        const brake_limits limits = release_limits(old.good, old.bad);
-        totals& judged = rollout.judged[route];
-        const auto new_bad = static_cast<double>(std::max<std::int64_t>(0, fresh.bad - judged.bad));
-        const auto new_good = static_cast<double>(std::max<std::int64_t>(0, fresh.good - judged.good));
-        judged = fresh;
-        const double change = new_bad * std::log(limits.bad_bad_share / limits.good_bad_share) +
-                              new_good * std::log((1 - limits.bad_bad_share) / (1 - limits.good_bad_share));
+        const totals new_totals = total_of(rollout, route, true);
+        const totals old_totals = total_of(rollout, route, false);
+        const brake_hypotheses hypotheses = release_hypotheses(old_totals.good, old_totals.bad);
+        totals& included = rollout.included[route];
+        const auto new_bad = static_cast<double>(std::max<std::int64_t>(0, new_totals.bad - included.bad));
+        const auto new_good = static_cast<double>(std::max<std::int64_t>(0, new_totals.good - included.good));
+        included = new_totals;
+        const double change = new_bad * std::log(hypotheses.unacceptable_bad_share / hypotheses.acceptable_bad_share) +
+                              new_good * std::log((1 - hypotheses.unacceptable_bad_share) / (1 - hypotheses.acceptable_bad_share));
         double& evidence = rollout.evidence[route];
         evidence = std::max(0.0, evidence + change);
-        if (evidence >= braking_evidence && !rollout.is_braked) {
+        if (evidence >= rollback_evidence && !rollout.is_braked) {
             rollout.is_braked = true;
             log_warning("rollout_braked", {{"service", rollout.order.service},
                                            {"release", rollout.order.release},
                                            {"route", route},
-                                           {"good", fresh.good},
-                                           {"bad", fresh.bad},
-                                           {"old_good", old.good},
-                                           {"old_bad", old.bad}});
+                                           {"good", new_totals.good},
+                                           {"bad", new_totals.bad},
+                                           {"old_good", old_totals.good},
+                                           {"old_bad", old_totals.bad}});
         }
     }
 }
@@ -439,29 +439,29 @@
 // says: a release that fails only under load, or from some moment on, may look good until all traffic is
 // there. So all traffic moves so late that even if it stays until the time limit the release has had no more
 // than its share.
-bool rollout_tracker::fits_exposure_bound(const track& rollout, time_point now) const {
+bool rollout_tracker::fits_exposure_bound(const rollout_record& rollout, time_point now) const {
     const sent_totals sent = sent_in(rollout);
-    const auto fresh = static_cast<double>(sent.fresh);
+    const auto sent_to_new = static_cast<double>(sent.to_new_release);
     const auto total = static_cast<double>(sent.all);
     const double age_ms = std::max(1.0, to_ms(now - rollout.since));
     const double left_ms = std::max(0.0, to_ms(rollout.order.time_limit) - age_ms);
     const double expected = total / age_ms * left_ms;
     // A burst that began just now raises the mean only a little: moved by the mean, a release had 341 of
     // 1,539 requests where 261 were allowed.
-    const double in_move = rate_margin * std::max(expected, rollout.recent_per_ms * left_ms);
-    return fresh + in_move <= settings_.exposure_share * (total + expected);
+    const double expected_after_cutover = rate_margin * std::max(expected, rollout.recent_per_ms * left_ms);
+    return sent_to_new + expected_after_cutover <= settings_.exposure_share * (total + expected);
 }
 
-rollout_tracker::sent_totals rollout_tracker::sent_in(const track& rollout) const {
+rollout_tracker::sent_totals rollout_tracker::sent_in(const rollout_record& rollout) const {
     sent_totals sent;
-    for_each_count(rollout.order.service, [&](const release_use& use, const release_counts& counts) {
+    for_each_count(rollout.order.service, [&](const release_route& key, const release_counts& counts) {
         sent.all += counts.sent_in_rollout;
-        sent.fresh += use.release == rollout.order.release ? counts.sent_in_rollout : 0;
+        sent.to_new_release += key.release == rollout.order.release ? counts.sent_in_rollout : 0;
     });
     return sent;
 }
 
-void rollout_tracker::measure_rate(track& rollout, time_point now) const {
+void rollout_tracker::measure_rate(rollout_record& rollout, time_point now) const {
     const duration since = now - rollout.counted_at;
     if (since < rate_window) {
         return;
@@ -473,41 +473,41 @@
     rollout.counted_at = now;
 }
 
-void rollout_tracker::move_everything(track& rollout, time_point now) const {
+void rollout_tracker::cut_over(rollout_record& rollout, time_point now) const {
     if (rollout.has_moved) {
         return;
     }
     rollout.has_moved = true;
-    rollout.moved_at = now;
-    rollout.at_move = total_of(rollout, "", true);
+    rollout.cut_over_at = now;
+    rollout.totals_at_cutover = total_of(rollout, "", true);
     log_info("rollout_moves", {{"service", rollout.order.service},
                                {"release", rollout.order.release},
                                {"age_ms", to_ms(now - rollout.since)}});
 }
 
-void rollout_tracker::set_shares(track& rollout, time_point now) const {
-    const int fresh = endpoints_of(rollout.order.service, rollout.order.release);
+void rollout_tracker::advance_phase(rollout_record& rollout, time_point now) const {
+    const int new_endpoints = endpoints_of(rollout.order.service, rollout.order.release);
     const duration age = now - rollout.since;
-    if (fresh == 0) {
+    if (new_endpoints == 0) {
         rollout.has_moved = false;
         rollout.is_on_trial = false;
         return;
     }
     // From when this host has seen the order, as well: only then did it begin to tell of its sessions.
     rollout.is_on_trial =
-        rollout.is_on_trial || (age > session_exchange && now - rollout.seen_at > session_exchange);
+        rollout.is_on_trial || (age > session_exchange_time && now - rollout.seen_at > session_exchange_time);
     // A release whose endpoints only crash gives no bad answers; it has to give good ones.
     const bool has_shown_itself =
-        good_answers_of(rollout.order.service, rollout.order.release) >= least_good_answers;
+        good_answers_of(rollout.order.service, rollout.order.release) >= min_good_answers;
     const bool is_second_half = age >= rollout.order.time_limit / 2;
-    const bool has_heard = hears_all_ && now - rollout.seen_at > hearing_time;
+    const bool has_heard = has_all_counts_ && now - rollout.seen_at > count_exchange_time;
     if (has_heard && is_second_half && has_shown_itself && !is_suspicious(rollout) &&
         fits_exposure_bound(rollout, now)) {
-        move_everything(rollout, now);
+        cut_over(rollout, now);
     }
 }
 
-bool rollout_tracker::is_suspicious(const track& rollout) const {
+bool rollout_tracker::is_suspicious(const rollout_record& rollout) const {
     return settings_.suspects &&
            std::any_of(rollout.evidence.begin(), rollout.evidence.end(),
                        [](const auto& item) { return item.second >= suspicious_evidence; });
@@ -517,28 +517,28 @@
 // tenth of the answers failed by then, spread over routes and mixed with answers of the quiet moment before:
 // too few for the sequential test, enough not to stop the old release. What is held back comes late if it was
 // sound.
-bool rollout_tracker::has_worsened(const track& rollout) const {
-    const totals fresh = total_of(rollout, "", true);
-    const auto bad = static_cast<double>(fresh.bad - rollout.at_move.bad);
-    const auto all = bad + static_cast<double>(fresh.good - rollout.at_move.good);
-    if (bad < least_bad_answers) {
+bool rollout_tracker::has_worsened(const rollout_record& rollout) const {
+    const totals new_totals = total_of(rollout, "", true);
+    const auto bad = static_cast<double>(new_totals.bad - rollout.totals_at_cutover.bad);
+    const auto all = bad + static_cast<double>(new_totals.good - rollout.totals_at_cutover.good);
+    if (bad < min_bad_answers) {
         return false;
     }
-    const totals old = total_of(rollout, "", false);
-    const auto old_all = static_cast<double>(old.good + old.bad);
-    const double usual =
-        old_all < least_good_answers ? 1 - usual_quality : static_cast<double>(old.bad) / old_all;
-    return bad / all > usual + tolerated_drop / 2;
+    const totals old_totals = total_of(rollout, "", false);
+    const auto old_all = static_cast<double>(old_totals.good + old_totals.bad);
+    const double baseline =
+        old_all < min_good_answers ? 1 - default_good_share : static_cast<double>(old_totals.bad) / old_all;
+    return bad / all > baseline + tolerated_drop / 2;
 }
 
-std::optional<rollout_state> rollout_tracker::due_state(const track& rollout, time_point now) const {
+std::optional<rollout_state> rollout_tracker::due_state(const rollout_record& rollout, time_point now) const {
     if (!is_open(rollout)) {
         return std::nullopt;
     }
     if (rollout.is_braked) {
         return rollout_state::rolled_back;
     }
-    const bool has_settled = rollout.moved_at && now - *rollout.moved_at > settling_time;
+    const bool has_settled = rollout.cut_over_at && now - *rollout.cut_over_at > min_time_after_cutover;
     const bool is_last_moment = now - rollout.since > rollout.order.time_limit - report_margin;
     const bool is_in_doubt = settings_.suspects && has_worsened(rollout);
     if (has_settled && is_last_moment && !is_suspicious(rollout) && !is_in_doubt) {
@@ -552,15 +552,15 @@
 
 std::vector<rollout_report> rollout_tracker::advance(time_point now) {
     std::vector<rollout_report> due;
-    for (auto& [service, rollout] : tracks_) {
+    for (auto& [service, rollout] : rollouts_) {
         if (!is_open(rollout)) {
             continue;
         }
-        find_crawling(rollout, now);
-        weigh(rollout);
+        count_overdue(rollout, now);
+        update_evidence(rollout);
         measure_rate(rollout, now);
         if (!rollout.is_braked) {
-            set_shares(rollout, now);
+            advance_phase(rollout, now);
         }
         if (const std::optional<rollout_state> next = due_state(rollout, now)) {
             due.push_back({rollout.order, *next, rollout.is_braked ? "braked by evidence" : "on schedule"});
--- a/src/rollout/release_rollout.h
+++ b/src/rollout/release_rollout.h
@@ -43,16 +43,16 @@
 
 /** Whose outcomes are counted together: one release of a service, on one route. A release may be bad on one
  * route only, and the others would hide it. */
-struct release_use {
+struct release_route {
     std::string service;
     std::string release;
     std::string route;
-    friend bool operator<(const release_use& l, const release_use& r) {
+    friend bool operator<(const release_route& l, const release_route& r) {
         return std::tie(l.service, l.release, l.route) < std::tie(r.service, r.release, r.route);
     }
 };
 
-/** What a host has seen of one \ref release_use since it started; only grows. */
+/** What a host has seen of one \ref release_route since it started; only grows. */
 struct release_counts {
     std::string service;
     std::string release;
@@ -73,7 +73,7 @@
 };
 
 /** What hosts tell one another about one roll-out. */
-struct rollout_news {
+struct rollout_gossip {
     std::string service;
     std::string release;
     std::int64_t age_ms = 0; ///< since this host, or one that it heard from, first saw the order
@@ -81,7 +81,7 @@
     double trial_share = 0; ///< of the requests that meet the new release while it is on trial
     bool has_moved = false; ///< the sender gives everything to the new release
 };
-LAUREL_VALUE_TYPE(rollout_news, service, release, age_ms, is_braked, trial_share, has_moved)
+LAUREL_VALUE_TYPE(rollout_gossip, service, release, age_ms, is_braked, trial_share, has_moved)
 
 /** The operators' bounds on a roll-out. */
 struct rollout_settings {
@@ -91,16 +91,16 @@
 };
 
 /** What of a request decides on its release. */
-struct release_subject {
+struct routed_request {
     std::string session; ///< empty: none
     std::string id;
-    bool is_repeat = false; ///< an attempt has failed; another must not depend on a release that is on trial
+    bool is_retry = false; ///< an attempt has failed; another must not depend on a release that is on trial
 };
 
 /** Which releases may serve a request. */
 struct release_choice {
     std::string required;        ///< empty: any
-    std::string unwanted;        ///< empty: none
+    std::string excluded;        ///< empty: none
     double endpoint_share = 1.0; ///< of the endpoints of \ref required that are to carry it
 };
 
@@ -119,43 +119,43 @@
 
     /** Sets whether the counts of all hosts come here, now and for long enough that all have come; only then
      * is it seen what all have sent, and may everything be moved. True unless set. */
-    void set_hears_all(bool hears_all) { hears_all_ = hears_all; }
+    void set_has_all_counts(bool has_all_counts) { has_all_counts_ = has_all_counts; }
     /** \return whether a roll-out is under way. */
     bool is_open() const;
     /** \return whether everything has been moved to a release that is not reported yet: what it does now
      * shows whether it may be. */
-    bool is_settling() const;
+    bool awaits_completion() const;
     /** Takes the orders as the store holds them.
-     * \param unheard for so long an order that is new here may have stood in the store */
-    void set_orders(const std::vector<rollout_order>& orders, time_point now, duration unheard = {});
+     * \param max_order_age for so long an order that is new here may have stood in the store */
+    void set_orders(const std::vector<rollout_order>& orders, time_point now, duration max_order_age = {});
     /** Takes how many endpoints of \p service run each release. */
     void set_endpoint_counts(const std::string& service, const std::map<std::string, int>& by_release);
 
     /** \return the releases that may serve \p request. */
-    release_choice choose(const std::string& service, const release_subject& request, time_point now) const;
+    release_choice choose(const std::string& service, const routed_request& request, time_point now) const;
 
     /** \param session of the request; empty: none */
-    void on_started(const release_use& use, const std::string& session, time_point now);
-    /** \param started_at of the attempt that has ended; without it the eldest one of \p use is meant
+    void on_started(const release_route& key, const std::string& session, time_point now);
+    /** \param started_at of the attempt that has ended; without it the eldest one of \p key is meant
      * \param is_whole it was answered whole, and shows how long that usually takes */
-    void on_finished(const release_use& use, const std::string& session, time_point now,
+    void on_finished(const release_route& key, const std::string& session, time_point now,
                      std::optional<time_point> started_at = {}, bool is_whole = false);
     /** An answer has begun. \return whether it took so long that this alone counts as a bad answer; it has
      * been counted then, and its end must not be. */
-    bool on_begun(const release_use& use, const response_timing& timing);
-    void on_outcome(const release_use& use, bool is_good);
+    bool on_first_byte_received(const release_route& key, const response_timing& timing);
+    void on_outcome(const release_route& key, bool is_good);
 
     std::vector<release_counts> own_counts() const;
-    std::vector<rollout_news> own_news(time_point now) const;
+    std::vector<rollout_gossip> own_gossip(time_point now) const;
     /** \return sessions that this host has served on an old release, to be told to all hosts at once while a
      * roll-out is in its first half; empty otherwise. */
-    std::vector<session_use> take_session_news(time_point now);
+    std::vector<session_use> take_session_updates(time_point now);
     /** \return sessions that are remembered in case of a roll-out. */
     std::size_t remembered_sessions() const { return sessions_.size(); }
     void merge_sessions(const std::vector<session_use>& uses, time_point now) { sessions_.merge(uses, now); }
     /** Takes what \p host (with its incarnation) has seen. */
     void merge(const std::string& host, const std::vector<release_counts>& counts,
-               const std::vector<rollout_news>& news, time_point now);
+               const std::vector<rollout_gossip>& news, time_point now);
 
     /** Re-examines the evidence; to be called a few times a second.
      * \return the reports that are due; each is repeated until the order's state shows it */
@@ -166,12 +166,12 @@
         std::int64_t good = 0;
         std::int64_t bad = 0;
     };
-    struct track {
+    struct rollout_record {
         rollout_order order;
         time_point since;                   ///< when the first host saw the order, or could have
         time_point seen_at;                 ///< when this one did
-        std::optional<time_point> moved_at; ///< when all traffic was moved
-        totals at_move;                     ///< answers of the new release by then
+        std::optional<time_point> cut_over_at; ///< when all traffic was moved
+        totals totals_at_cutover;                     ///< answers of the new release by then
         double trial_share = 0;             ///< of the requests, while the release is on trial
         bool is_on_trial = false;           ///< once the hosts have told one another of their sessions
         std::int64_t sent_before = 0;       ///< requests of the service at \ref counted_at
@@ -179,61 +179,61 @@
         double recent_per_ms = 0; ///< requests of the service, over the last second or two
         bool has_moved = false;   ///< everything goes to the new release
         bool is_braked = false;
-        std::map<std::string, totals> judged;   ///< by route: what the evidence includes
+        std::map<std::string, totals> included;   ///< by route: what the evidence includes
         std::map<std::string, double> evidence; ///< by route: for "bad" over "good", never below 0
     };
     /// Mean of measured over expected times, or where none are expected of the times themselves.
-    struct usual_time {
+    struct running_mean {
         double mean = 0;
         std::int64_t count = 0;
     };
 
-    static bool is_open(const track& rollout);
-    static void learn(usual_time& usual, double measured);
-    /** Calls \p visit with each use of \p service that this host or another has counted. */
+    static bool is_open(const rollout_record& rollout);
+    static void update_mean(running_mean& average, double measured);
+    /** Calls \p visit with each key of \p service that this host or another has counted. */
     template <class Visit>
     void for_each_count(const std::string& service, const Visit& visit) const;
     /** \param route empty: all routes */
-    totals total_of(const track& rollout, const std::string& route, bool of_new_release) const;
+    totals total_of(const rollout_record& rollout, const std::string& route, bool of_new_release) const;
     std::int64_t good_answers_of(const std::string& service, const std::string& release) const;
     double new_trial_share(const rollout_order& order) const;
     bool is_in_trial_group(const std::string& service, const std::string& session) const;
-    bool is_for_new_release(const track& rollout, const release_subject& request, time_point now) const;
-    bool fits_exposure_bound(const track& rollout, time_point now) const;
+    bool is_for_new_release(const rollout_record& rollout, const routed_request& request, time_point now) const;
+    bool fits_exposure_bound(const rollout_record& rollout, time_point now) const;
     /// Attempts that all hosts have made since the order.
     struct sent_totals {
         std::int64_t all = 0;
-        std::int64_t fresh = 0; ///< of these, to the new release
+        std::int64_t to_new_release = 0; ///< of these, to the new release
     };
-    sent_totals sent_in(const track& rollout) const;
-    void measure_rate(track& rollout, time_point now) const;
-    void weigh(track& rollout);
-    bool is_suspicious(const track& rollout) const;
-    void move_everything(track& rollout, time_point now) const;
+    sent_totals sent_in(const rollout_record& rollout) const;
+    void measure_rate(rollout_record& rollout, time_point now) const;
+    void update_evidence(rollout_record& rollout);
+    bool is_suspicious(const rollout_record& rollout) const;
+    void cut_over(rollout_record& rollout, time_point now) const;
     /** \return whether the new release has failed clearly more often than the old one since everything was
      * moved. */
-    bool has_worsened(const track& rollout) const;
-    void set_shares(track& rollout, time_point now) const;
-    void find_crawling(const track& rollout, time_point now);
-    duration longest_usual(const release_use& use) const;
-    std::optional<rollout_state> due_state(const track& rollout, time_point now) const;
+    bool has_worsened(const rollout_record& rollout) const;
+    void advance_phase(rollout_record& rollout, time_point now) const;
+    void count_overdue(const rollout_record& rollout, time_point now);
+    duration overdue_after(const release_route& key) const;
+    std::optional<rollout_state> due_state(const rollout_record& rollout, time_point now) const;
     int endpoints_of(const std::string& service, const std::string& release) const;
-    int endpoints_of_others(const std::string& service, const std::string& release) const;
+    int endpoints_of_other_releases(const std::string& service, const std::string& release) const;
 
     rollout_settings settings_;
-    bool hears_all_ = true;
+    bool has_all_counts_ = true;
     session_memory sessions_;
-    std::map<std::string, track> tracks_; ///< by service
-    std::map<release_use, release_counts> own_;
-    std::map<std::string, std::map<release_use, release_counts>> by_host_;
+    std::map<std::string, rollout_record> rollouts_; ///< by service
+    std::map<release_route, release_counts> own_;
+    std::map<std::string, std::map<release_route, release_counts>> by_host_;
     std::map<std::string, std::map<std::string, int>> endpoints_;
-    bool is_slow(const release_use& use, const response_timing& timing);
+    bool is_slow(const release_route& key, const response_timing& timing);
 
-    std::map<release_use, std::multiset<time_point>> under_way_; ///< when attempts here were started
-    std::map<release_use, usual_time>
-        usual_lengths_; ///< of whole answers in ms, of the releases that are not new, by service and route
-    std::map<release_use, usual_time>
-        usual_times_; ///< of the releases that are not new, by service and route
+    std::map<release_route, std::multiset<time_point>> under_way_; ///< when attempts here were started
+    std::map<release_route, running_mean>
+        mean_durations_; ///< of whole answers in ms, of the releases that are not new, by service and route
+    std::map<release_route, running_mean>
+        mean_first_byte_; ///< of the releases that are not new, by service and route
 };
 
 } // namespace laurelhoist
--- a/src/rollout/session_memory.h
+++ b/src/rollout/session_memory.h
@@ -27,8 +27,8 @@
 
 class session_memory {
 public:
-    /** \param life for how long after its last request a session still counts as the same one */
-    explicit session_memory(duration life) : life_{life} {}
+    /** \param lifetime for how long after its last request a session still counts as the same one */
+    explicit session_memory(duration lifetime) : lifetime_{lifetime} {}
 
     void on_started(const std::string& service, std::uint64_t session, time_point now);
     void on_finished(const std::string& service, std::uint64_t session, time_point now);
@@ -38,21 +38,21 @@
     /** \return whether \p session used the established release so lately that it has to stay there. */
     bool is_recent(const std::string& service, std::uint64_t session, time_point now) const;
     /** \return this host's own uses that still count and that have changed since the last call. */
-    std::vector<session_use> take_news(time_point now);
+    std::vector<session_use> take_updates(time_point now);
     /** Drops what no longer counts; to be called a few times a second, with or without a roll-out. */
     void forget_old(time_point now);
     std::size_t size() const { return uses_.size(); }
 
 private:
     using key = std::pair<std::string, std::uint64_t>;
-    struct use {
+    struct last_use {
         int under_way = 0; ///< requests at this host
         time_point at;     ///< when the last one began or ended, here or at another host
-        bool is_news = false;
+        bool is_unsent = false;
     };
 
-    duration life_;
-    std::map<key, use> uses_;
+    duration lifetime_;
+    std::map<key, last_use> uses_;
 };
 
 } // namespace laurelhoist
--- a/src/routing/endpoint_table.cpp
+++ b/src/routing/endpoint_table.cpp
@@ -9,26 +9,26 @@
 
 constexpr int failures_to_eject = 3;
 constexpr duration first_ejection = seconds(2);
-constexpr duration longest_ejection = seconds(30);
-constexpr duration missing_version_memory = seconds(2);
-constexpr duration report_memory = seconds(5);
-constexpr duration prefix_memory = seconds(300);
-constexpr std::size_t most_prefixes = 64;
+constexpr duration max_ejection = seconds(30);
+constexpr duration missing_version_ttl = seconds(2);
+constexpr duration report_ttl = seconds(5);
+constexpr duration prefix_ttl = seconds(300);
+constexpr std::size_t max_prefixes = 64;
 constexpr std::size_t candidates_compared = 3;
 constexpr double smoothing = 0.2;
 constexpr double limit_step = 0.5;
-constexpr double limit_cut = 0.8;     ///< of the limit, at a failure
-constexpr double affinity_gain = 0.7; ///< a cached prefix is worth this share of the expected time
-constexpr duration soon = milliseconds(500);
-constexpr duration leaving_memory = seconds(60);
+constexpr double limit_decrease_factor = 0.8;     ///< of the limit, at a failure
+constexpr double prefix_hit_cost_factor = 0.7; ///< a cached prefix is worth this share of the expected time
+constexpr duration reinstatement_lookahead = milliseconds(500);
+constexpr duration leaving_override_time = seconds(60);
 
 } // namespace
 
-endpoint_table::endpoint_table(chart life, std::uint64_t seed, endpoint_policy policy)
-    : life_{std::move(life)}, random_{seed}, policy_{policy} {}
+endpoint_table::endpoint_table(chart lifecycle, std::uint64_t seed, endpoint_policy policy)
+    : lifecycle_{std::move(lifecycle)}, random_{seed}, policy_{policy} {}
 
-void endpoint_table::move(endpoint_state& endpoint, const std::string& event) {
-    const outcome<std::string> next = life_.next(endpoint.state, event);
+void endpoint_table::apply_event(endpoint_state& endpoint, const std::string& event) {
+    const outcome<std::string> next = lifecycle_.next(endpoint.state, event);
     if (const std::string* state = value_of(next)) {
         endpoint.state = *state;
     }
@@ -49,16 +49,16 @@
             endpoint.in_flight = in_flight;
         }
         if (is_new || is_restarted) {
-            endpoint.state = life_.initial();
+            endpoint.state = lifecycle_.initial();
             endpoint.limit = limits_of(record.pool).initial;
         }
         endpoint.record = record;
         if (record.state == "leaving") {
             mark_leaving(record.name, now);
         } else if (endpoint.state == "gone" ||
-                   (endpoint.state == "leaving" && now - endpoint.leaving_since > leaving_memory)) {
-            // The list lags: "live" soon after the endpoint itself said "leaving" is old news.
-            move(endpoint, "returned");
+                   (endpoint.state == "leaving" && now - endpoint.leaving_since > leaving_override_time)) {
+            // The list lags: "live" reinstatement_lookahead after the endpoint itself said "leaving" is old news.
+            apply_event(endpoint, "returned");
         }
     }
     for (auto item = endpoints_.begin(); item != endpoints_.end();) {
@@ -66,7 +66,7 @@
             ++item;
             continue;
         }
-        move(item->second, "gone");
+        apply_event(item->second, "gone");
         item = item->second.in_flight == 0 ? endpoints_.erase(item) : std::next(item);
     }
 }
@@ -98,7 +98,7 @@
 void endpoint_table::mark_leaving(const std::string& name, time_point now) {
     const auto found = endpoints_.find(name);
     if (found != endpoints_.end() && found->second.state != "leaving") {
-        move(found->second, "leaving");
+        apply_event(found->second, "leaving");
         found->second.leaving_since = now;
     }
 }
@@ -113,7 +113,7 @@
         return false;
     }
     const std::vector<std::string>& loaded = endpoint.report.versions;
-    const bool is_recent = now - endpoint.reported_at < report_memory;
+    const bool is_recent = now - endpoint.reported_at < report_ttl;
     return loaded.empty() || !is_recent || std::find(loaded.begin(), loaded.end(), version) != loaded.end();
 }
 
@@ -124,7 +124,7 @@
     }
     const std::uint64_t hash = placement_hash(prefix);
     return std::any_of(endpoint.prefixes.begin(), endpoint.prefixes.end(), [&](const prefix_hint& hint) {
-        return hint.prefix == hash && now - hint.used_at < prefix_memory;
+        return hint.prefix == hash && now - hint.used_at < prefix_ttl;
     });
 }
 
@@ -137,48 +137,48 @@
                                  const endpoint_filter& may_be_used) const {
     return std::any_of(endpoints_.begin(), endpoints_.end(), [&](const auto& item) {
         const endpoint_state& endpoint = item.second;
-        const bool is_in = endpoint.state == "live" || endpoint.state == "probing";
-        const bool is_soon_in = endpoint.state == "ejected" && endpoint.ejected_until - now < soon;
-        return endpoint.record.pool == pool && (is_in || is_soon_in) && has_version(endpoint, version, now) &&
+        const bool is_active = endpoint.state == "live" || endpoint.state == "probing";
+        const bool is_active_soon = endpoint.state == "ejected" && endpoint.ejected_until - now < reinstatement_lookahead;
+        return endpoint.record.pool == pool && (is_active || is_active_soon) && has_version(endpoint, version, now) &&
                (!may_be_used || may_be_used(endpoint.record));
     });
 }
 
-bool endpoint_table::is_eligible(endpoint_state& endpoint, const endpoint_wish& wish, time_point now) {
-    if (endpoint.record.pool != wish.pool || wish.avoided.count(endpoint.record.name) > 0) {
+bool endpoint_table::is_eligible(endpoint_state& endpoint, const endpoint_criteria& criteria, time_point now) {
+    if (endpoint.record.pool != criteria.pool || criteria.avoided.count(endpoint.record.name) > 0) {
         return false;
     }
     const std::string& release = endpoint.record.release;
-    if ((!wish.release.empty() && release != wish.release) ||
-        (!wish.unwanted_release.empty() && release == wish.unwanted_release)) {
+    if ((!criteria.release.empty() && release != criteria.release) ||
+        (!criteria.excluded_release.empty() && release == criteria.excluded_release)) {
         return false;
     }
     if (endpoint.state == "ejected" && now >= endpoint.ejected_until) {
-        move(endpoint, "rested");
+        apply_event(endpoint, "rested");
     }
     const bool is_probe = endpoint.state == "probing";
     if (endpoint.state != "live" && !is_probe) {
         return false;
     }
     const double limit = is_probe ? 1.0 : std::max(1.0, std::floor(endpoint.limit));
-    return endpoint.in_flight < limit && has_version(endpoint, wish.version, now);
+    return endpoint.in_flight < limit && has_version(endpoint, criteria.version, now);
 }
 
-double endpoint_table::expected_ms(const endpoint_state& endpoint, time_point now) const {
+double endpoint_table::expected_latency_ms(const endpoint_state& endpoint, time_point now) const {
     double others = 0;
-    if (endpoint.report.running >= 0 && now - endpoint.reported_at < report_memory) {
+    if (endpoint.report.running >= 0 && now - endpoint.reported_at < report_ttl) {
         others = std::max(0, endpoint.report.running + endpoint.report.queued - endpoint.in_flight_at_report);
     }
     const double typical =
-        endpoint.typical_ms > 0 ? endpoint.typical_ms : best_typical_ms(endpoint.record.pool);
+        endpoint.average_latency_ms > 0 ? endpoint.average_latency_ms : lowest_average_latency_ms(endpoint.record.pool);
     return std::max(1.0, typical) * (1.0 + endpoint.in_flight + others);
 }
 
-endpoint_table::endpoint_state* endpoint_table::choose_ours(const std::vector<endpoint_state*>& eligible,
-                                                            const endpoint_wish& wish, time_point now) {
+endpoint_table::endpoint_state* endpoint_table::choose_by_expected_latency(const std::vector<endpoint_state*>& eligible,
+                                                            const endpoint_criteria& criteria, time_point now) {
     std::vector<endpoint_state*> compared;
     for (endpoint_state* endpoint : eligible) {
-        if (has_prefix(*endpoint, wish.prefix, now)) {
+        if (has_prefix(*endpoint, criteria.prefix, now)) {
             compared.push_back(endpoint);
         }
     }
@@ -186,8 +186,8 @@
         compared.push_back(eligible[random_.below(eligible.size())]);
     }
     const auto cost = [&](const endpoint_state* endpoint) {
-        const double expected = expected_ms(*endpoint, now);
-        return has_prefix(*endpoint, wish.prefix, now) ? expected * affinity_gain : expected;
+        const double expected = expected_latency_ms(*endpoint, now);
+        return has_prefix(*endpoint, criteria.prefix, now) ? expected * prefix_hit_cost_factor : expected;
     };
     return *std::min_element(compared.begin(), compared.end(),
                              [&](const auto* l, const auto* r) { return cost(l) < cost(r); });
@@ -196,10 +196,10 @@
 namespace {
 
 /// With so many endpoints to each failure domain, every domain has at least one among those that are kept.
-constexpr std::size_t endpoints_of_large_domain = 8;
+constexpr std::size_t min_endpoints_per_domain = 8;
 
 /** Brings one record of each failure domain to the front, then the second of each; returns the domains. */
-std::size_t order_by_domain(std::vector<endpoint_record>& records) {
+std::size_t interleave_domains(std::vector<endpoint_record>& records) {
     std::map<std::string, std::size_t> placed;
     std::vector<std::pair<std::size_t, endpoint_record>> rounds;
     for (endpoint_record& record : records) {
@@ -218,20 +218,20 @@
 // Load pattern: a release of 96 endpoints is on trial with one hundredth of the requests, which 295 hosts of
 // six domains send to the same endpoint without knowing of one another's. Seven of 20 answers took four times
 // as long as usual, and a sound release was braked. Hosts of one domain know of one another's.
-void keep_share(std::vector<endpoint_record>& records, const endpoint_wish& wish) {
-    if (wish.endpoint_share >= 1.0 || records.empty()) {
+void keep_endpoint_share(std::vector<endpoint_record>& records, const endpoint_criteria& criteria) {
+    if (criteria.endpoint_share >= 1.0 || records.empty()) {
         return;
     }
     const auto rank_of = [&](const endpoint_record& record) {
-        return placement_hash(wish.release + "/" + record.name);
+        return placement_hash(criteria.release + "/" + record.name);
     };
     std::sort(records.begin(), records.end(),
               [&](const auto& l, const auto& r) { return rank_of(l) < rank_of(r); });
     auto wanted = static_cast<std::size_t>(
-        std::max(1.0, std::ceil(static_cast<double>(records.size()) * wish.endpoint_share)));
+        std::max(1.0, std::ceil(static_cast<double>(records.size()) * criteria.endpoint_share)));
     std::vector<endpoint_record> ordered = records;
-    const std::size_t domains = order_by_domain(ordered);
-    if (records.size() >= domains * endpoints_of_large_domain) {
+    const std::size_t domains = interleave_domains(ordered);
+    if (records.size() >= domains * min_endpoints_per_domain) {
         records = std::move(ordered);
         wanted = std::max(wanted, domains);
     }
@@ -240,11 +240,11 @@
 
 } // namespace
 
-std::optional<endpoint_record> endpoint_table::choose(const endpoint_wish& wish, time_point now,
+std::optional<endpoint_record> endpoint_table::choose(const endpoint_criteria& criteria, time_point now,
                                                       const endpoint_filter& may_be_used) {
     std::vector<endpoint_state*> eligible;
     for (auto& [name, endpoint] : endpoints_) {
-        if (is_eligible(endpoint, wish, now) && (!may_be_used || may_be_used(endpoint.record))) {
+        if (is_eligible(endpoint, criteria, now) && (!may_be_used || may_be_used(endpoint.record))) {
             eligible.push_back(&endpoint);
         }
     }
@@ -254,41 +254,41 @@
     const auto by_in_flight = [](const auto* l, const auto* r) { return l->in_flight < r->in_flight; };
     switch (policy_) {
     case endpoint_policy::round_robin:
-        return eligible[turn_++ % eligible.size()]->record;
+        return eligible[round_robin_index_++ % eligible.size()]->record;
     case endpoint_policy::random:
         return eligible[random_.below(eligible.size())]->record;
     case endpoint_policy::least_in_flight:
         return (*std::min_element(eligible.begin(), eligible.end(), by_in_flight))->record;
-    case endpoint_policy::ours:
+    case endpoint_policy::least_expected_latency:
         break;
     }
-    return choose_ours(eligible, wish, now)->record;
+    return choose_by_expected_latency(eligible, criteria, now)->record;
 }
 
-std::vector<endpoint_record> endpoint_table::eligible(const endpoint_wish& wish, time_point now,
+std::vector<endpoint_record> endpoint_table::eligible(const endpoint_criteria& criteria, time_point now,
                                                       const endpoint_filter& may_be_used) {
     std::vector<endpoint_record> records;
     for (auto& [name, endpoint] : endpoints_) {
-        if (is_eligible(endpoint, wish, now) && (!may_be_used || may_be_used(endpoint.record))) {
+        if (is_eligible(endpoint, criteria, now) && (!may_be_used || may_be_used(endpoint.record))) {
             records.push_back(endpoint.record);
         }
     }
-    keep_share(records, wish);
+    keep_endpoint_share(records, criteria);
     return records;
 }
 
-void endpoint_table::on_call_started(const std::string& name, const endpoint_wish& wish, time_point now) {
+void endpoint_table::on_call_started(const std::string& name, const endpoint_criteria& criteria, time_point now) {
     const auto found = endpoints_.find(name);
     if (found == endpoints_.end()) {
         return;
     }
     endpoint_state& endpoint = found->second;
     ++endpoint.in_flight;
-    if (wish.prefix.empty()) {
+    if (criteria.prefix.empty()) {
         return;
     }
-    endpoint.prefixes.push_front({placement_hash(wish.prefix), now});
-    if (endpoint.prefixes.size() > most_prefixes) {
+    endpoint.prefixes.push_front({placement_hash(criteria.prefix), now});
+    if (endpoint.prefixes.size() > max_prefixes) {
         endpoint.prefixes.pop_back();
     }
 }
@@ -296,15 +296,15 @@
 void endpoint_table::eject(endpoint_state& endpoint, time_point now) {
     const int doublings = std::min(4, endpoint.failures - failures_to_eject);
     const duration rest = first_ejection * (1 << std::max(0, doublings));
-    endpoint.ejected_until = now + std::min(rest, longest_ejection);
-    move(endpoint, "failed");
+    endpoint.ejected_until = now + std::min(rest, max_ejection);
+    apply_event(endpoint, "failed");
 }
 
-double endpoint_table::best_typical_ms(const std::string& pool) const {
+double endpoint_table::lowest_average_latency_ms(const std::string& pool) const {
     double best = 0;
     for (const auto& [name, endpoint] : endpoints_) {
-        if (endpoint.record.pool == pool && endpoint.typical_ms > 0) {
-            best = best == 0 ? endpoint.typical_ms : std::min(best, endpoint.typical_ms);
+        if (endpoint.record.pool == pool && endpoint.average_latency_ms > 0) {
+            best = best == 0 ? endpoint.average_latency_ms : std::min(best, endpoint.average_latency_ms);
         }
     }
     return best;
@@ -334,13 +334,13 @@
     } else if (result == call_result::answered) {
         endpoint.failures = 0;
         const double ms = to_ms(took);
-        endpoint.typical_ms =
-            endpoint.typical_ms == 0 ? ms : endpoint.typical_ms * (1 - smoothing) + ms * smoothing;
+        endpoint.average_latency_ms =
+            endpoint.average_latency_ms == 0 ? ms : endpoint.average_latency_ms * (1 - smoothing) + ms * smoothing;
         adapt_limit(endpoint);
-        move(endpoint, "answered");
+        apply_event(endpoint, "answered");
     } else if (result == call_result::failed || result == call_result::refused_not_run) {
         ++endpoint.failures;
-        endpoint.limit = std::max(1.0, endpoint.limit * limit_cut);
+        endpoint.limit = std::max(1.0, endpoint.limit * limit_decrease_factor);
         if (endpoint.failures >= failures_to_eject || endpoint.state == "probing") {
             eject(endpoint, now);
         }
@@ -350,7 +350,7 @@
     }
 }
 
-void endpoint_table::on_report(const std::string& name, const load_report& report, time_point now) {
+void endpoint_table::on_load_report(const std::string& name, const load_report& report, time_point now) {
     const auto found = endpoints_.find(name);
     if (found == endpoints_.end() || report.running < 0) {
         return;
@@ -364,7 +364,7 @@
                                         time_point now) {
     const auto found = endpoints_.find(name);
     if (found != endpoints_.end()) {
-        found->second.missing_until[version] = now + missing_version_memory;
+        found->second.missing_until[version] = now + missing_version_ttl;
     }
 }
 
@@ -385,12 +385,12 @@
     return total;
 }
 
-double endpoint_table::typical_ms(const std::string& pool) const {
+double endpoint_table::average_latency_ms(const std::string& pool) const {
     double sum = 0;
     int known = 0;
     for (const auto& [name, endpoint] : endpoints_) {
-        if (endpoint.record.pool == pool && endpoint.typical_ms > 0) {
-            sum += endpoint.typical_ms;
+        if (endpoint.record.pool == pool && endpoint.average_latency_ms > 0) {
+            sum += endpoint.average_latency_ms;
             ++known;
         }
     }
--- a/src/routing/endpoint_table.h
+++ b/src/routing/endpoint_table.h
@@ -30,14 +30,14 @@
     cancelled,
 };
 
-/** A wish for an endpoint. */
-struct endpoint_wish {
+/** A criteria for an endpoint. */
+struct endpoint_criteria {
     std::string pool;
     std::string version;            ///< model@version, empty for services
     std::string prefix;             ///< of the prompt, for the prefix cache; empty: none
     std::set<std::string> avoided;  ///< endpoints that have failed this request
     std::string release{};          ///< of the endpoint's software; empty: any
-    std::string unwanted_release{}; ///< that the endpoint's software must not be; empty: none
+    std::string excluded_release{}; ///< that the endpoint's software must not be; empty: none
     double endpoint_share = 1.0;    ///< of the endpoints that fit, the same ones on every host; at least one
 };
 
@@ -45,13 +45,13 @@
 using endpoint_filter = std::function<bool(const endpoint_record&)>;
 
 /** How an endpoint is chosen; the experiment program compares them. */
-enum class endpoint_policy { ours, round_robin, random, least_in_flight };
+enum class endpoint_policy { least_expected_latency, round_robin, random, least_in_flight };
 
 /** The endpoints of one entry. */
 class endpoint_table {
 public:
-    /** \param life charts/endpoint.scxml */
-    endpoint_table(chart life, std::uint64_t seed, endpoint_policy policy = endpoint_policy::ours);
+    /** \param lifecycle charts/endpoint.scxml */
+    endpoint_table(chart lifecycle, std::uint64_t seed, endpoint_policy policy = endpoint_policy::least_expected_latency);
 
     /** Takes the list as the stewards push it; endpoints missing from it are gone. */
     void update(const std::vector<endpoint_record>& endpoints, time_point now);
@@ -61,11 +61,11 @@
     void mark_leaving(const std::string& name, time_point now);
 
     /** \return the endpoint to call, or nothing if every one is full or out. */
-    std::optional<endpoint_record> choose(const endpoint_wish& wish, time_point now,
+    std::optional<endpoint_record> choose(const endpoint_criteria& criteria, time_point now,
                                           const endpoint_filter& may_be_used = nullptr);
-    /** \return the endpoints that may be called for \p wish now; empty if every one is full or out.
+    /** \return the endpoints that may be called for \p criteria now; empty if every one is full or out.
      * \param may_be_used leaves out others before a share of them is taken; null: none */
-    std::vector<endpoint_record> eligible(const endpoint_wish& wish, time_point now,
+    std::vector<endpoint_record> eligible(const endpoint_criteria& criteria, time_point now,
                                           const endpoint_filter& may_be_used = nullptr);
     /** \return whether \p name may be given new work. */
     bool takes_work(const std::string& name) const;
@@ -73,9 +73,9 @@
     bool could_serve(const std::string& pool, const version_name& version, time_point now,
                      const endpoint_filter& may_be_used = nullptr) const;
 
-    void on_call_started(const std::string& name, const endpoint_wish& wish, time_point now);
+    void on_call_started(const std::string& name, const endpoint_criteria& criteria, time_point now);
     void on_call_ended(const std::string& name, call_result result, duration took, time_point now);
-    void on_report(const std::string& name, const load_report& report, time_point now);
+    void on_load_report(const std::string& name, const load_report& report, time_point now);
     /** Notes that \p name said it does not have \p version. */
     void on_version_missing(const std::string& name, const version_name& version, time_point now);
 
@@ -83,7 +83,7 @@
     /** \return requests that the pool's endpoints together take now from this entry. */
     double capacity(const std::string& pool) const;
     /** \return the smoothed time of an answer of \p pool in milliseconds, 0 if unknown. */
-    double typical_ms(const std::string& pool) const;
+    double average_latency_ms(const std::string& pool) const;
     std::size_t size() const { return endpoints_.size(); }
 
 private:
@@ -102,7 +102,7 @@
         std::string state;
         int in_flight = 0;
         double limit = 4;
-        double typical_ms = 0;
+        double average_latency_ms = 0;
         int failures = 0;
         time_point ejected_until;
         load_report report;
@@ -113,22 +113,22 @@
         std::deque<prefix_hint> prefixes;
     };
 
-    void move(endpoint_state& endpoint, const std::string& event);
-    bool is_eligible(endpoint_state& endpoint, const endpoint_wish& wish, time_point now);
+    void apply_event(endpoint_state& endpoint, const std::string& event);
+    bool is_eligible(endpoint_state& endpoint, const endpoint_criteria& criteria, time_point now);
     bool has_version(const endpoint_state& endpoint, const version_name& version, time_point now) const;
     bool has_prefix(const endpoint_state& endpoint, const std::string& prefix, time_point now) const;
-    double expected_ms(const endpoint_state& endpoint, time_point now) const;
-    endpoint_state* choose_ours(const std::vector<endpoint_state*>& eligible, const endpoint_wish& wish,
+    double expected_latency_ms(const endpoint_state& endpoint, time_point now) const;
+    endpoint_state* choose_by_expected_latency(const std::vector<endpoint_state*>& eligible, const endpoint_criteria& criteria,
                                 time_point now);
     void eject(endpoint_state& endpoint, time_point now);
     void adapt_limit(endpoint_state& endpoint);
     limit_range limits_of(const std::string& pool) const;
-    double best_typical_ms(const std::string& pool) const;
+    double lowest_average_latency_ms(const std::string& pool) const;
 
-    chart life_;
+    chart lifecycle_;
     random_source random_;
     endpoint_policy policy_;
-    std::size_t turn_ = 0;
+    std::size_t round_robin_index_ = 0;
     std::map<std::string, endpoint_state> endpoints_;
     std::map<std::string, limit_range> limits_;
 };
--- a/src/routing/fair_queue.cpp
+++ b/src/routing/fair_queue.cpp
@@ -49,7 +49,7 @@
     }
     auto& items = found->second.items;
     items.erase(std::remove_if(items.begin(), items.end(),
-                               [&](const waiting& item) { return item.request_id == request_id; }),
+                               [&](const queued_request& item) { return item.request_id == request_id; }),
                 items.end());
 }
 
--- a/src/routing/fair_queue.h
+++ b/src/routing/fair_queue.h
@@ -19,9 +19,9 @@
  * be made to wait behind a flood of another. */
 class fair_queue {
 public:
-    struct waiting {
+    struct queued_request {
         std::string request_id;
-        time_point since;
+        time_point queued_at;
     };
 
     void push(const std::string& team, const std::string& request_id, time_point now);
@@ -42,7 +42,7 @@
 
 private:
     struct team_queue {
-        std::deque<waiting> items;
+        std::deque<queued_request> items;
         double virtual_time = 0;
     };
     team_queue& activate(const std::string& team);
--- a/src/routing/quality_estimator.h
+++ b/src/routing/quality_estimator.h
@@ -31,22 +31,22 @@
     void observe(const subject& about, bool met, double prior);
     /** \return the chance that the next answer meets the score. */
     double chance(const subject& about, double prior) const;
-    std::size_t size() const { return beliefs_.size(); }
+    std::size_t size() const { return by_subject_.size(); }
 
 private:
-    struct belief {
+    struct beta_counts {
         double met = 0;
         double missed = 0;
     };
-    static belief initial(double prior, double strength);
-    static double mean(const belief& held) { return held.met / (held.met + held.missed); }
-    static void update(belief& held, bool met);
+    static beta_counts initial(double prior, double strength);
+    static double mean(const beta_counts& counts) { return counts.met / (counts.met + counts.missed); }
+    static void update(beta_counts& counts, bool met);
     /** \return the version as a whole, over teams and kinds. */
-    static subject whole(const subject& about);
+    static subject version_subject(const subject& about);
     double version_chance(const subject& about, double prior) const;
 
-    std::map<subject, belief> beliefs_;
-    std::map<subject, belief> versions_;
+    std::map<subject, beta_counts> by_subject_;
+    std::map<subject, beta_counts> by_version_;
 };
 
 /** How well a team has been served lately, over whole answers and streams. A stream cannot step up, so its
--- a/src/routing/retry_budget.h
+++ b/src/routing/retry_budget.h
@@ -11,15 +11,15 @@
 /** How many second runs are allowed. */
 struct retry_allowance {
     double per_first_attempt = 0.2; ///< in a steady stream, of the first attempts
-    double most = 20.0;             ///< in a burst
+    double burst = 20.0;            ///< the bucket size
 };
 
 class retry_budget {
 public:
     explicit retry_budget(const retry_allowance& allowance = {})
-        : allowance_{allowance}, tokens_{allowance.most} {}
+        : allowance_{allowance}, tokens_{allowance.burst} {}
 
-    void on_first_attempt() { tokens_ = std::min(allowance_.most, tokens_ + allowance_.per_first_attempt); }
+    void on_first_attempt() { tokens_ = std::min(allowance_.burst, tokens_ + allowance_.per_first_attempt); }
     /** \return whether a second run may be made now; takes its token. */
     bool try_take() {
         if (tokens_ < 1.0) {
--- a/src/routing/session_token.cpp
+++ b/src/routing/session_token.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr std::string_view token_prefix = "lh1.";
-constexpr std::size_t longest_plain_id = 128;
+constexpr std::size_t max_session_id_length = 128;
 
 std::optional<session_pins> decode_session(const std::string& token, const std::string& key) {
     if (token.rfind(token_prefix, 0) != 0) {
@@ -28,11 +28,11 @@
     return document.get<session_pins>();
 }
 
-const team_entry* ladder_owner(const bundle* document, const std::string& team) {
+const team_entry* find_ladder_team(const bundle* document, const std::string& team) {
     return document == nullptr ? nullptr : find_team(*document, team);
 }
 
-version_name same_model_version(const team_entry* team, const std::string& model) {
+version_name ladder_version_of(const team_entry* team, const std::string& model) {
     if (team == nullptr) {
         return {};
     }
@@ -49,21 +49,21 @@
 }
 
 session_pins read_session(const std::string& header, const std::string& team, const std::string& key,
-                          const std::string& fresh_id) {
+                          const std::string& new_session_id) {
     if (header.empty()) {
-        return {team, fresh_id, {}, 0};
+        return {team, new_session_id, {}, 0};
     }
     const std::optional<session_pins> pins = decode_session(header, key);
     if (pins && pins->team == team) {
         return *pins;
     }
-    return {team, header.substr(0, longest_plain_id), {}, 0};
+    return {team, header.substr(0, max_session_id_length), {}, 0};
 }
 
 std::vector<version_name> resolve_ladder(const fleet_view& view, const session_pins& pins) {
     std::vector<version_name> ladder;
-    const team_entry* team = ladder_owner(view.bundle_for(unit_hash(pins.session)), pins.team);
-    const team_entry* fallback = ladder_owner(view.established(), pins.team);
+    const team_entry* team = find_ladder_team(view.bundle_for(unit_hash(pins.session)), pins.team);
+    const team_entry* fallback = find_ladder_team(view.established(), pins.team);
     team = team == nullptr ? fallback : team;
     if (team == nullptr) {
         return ladder;
@@ -73,7 +73,7 @@
         const auto pin = pins.version_by_model.find(model);
         const version_name pinned =
             pin == pins.version_by_model.end() ? version_name{} : model + "@" + pin->second;
-        for (const version_name& candidate : {pinned, step, same_model_version(fallback, model)}) {
+        for (const version_name& candidate : {pinned, step, ladder_version_of(fallback, model)}) {
             if (!candidate.empty() && view.is_allowed(pins.team, candidate)) {
                 ladder.push_back(candidate);
                 break;
--- a/src/routing/session_token.h
+++ b/src/routing/session_token.h
@@ -25,9 +25,9 @@
 /** Reads what a caller sent as its session: a token of ours for the same team, or, failing that, a plain
  * session id of the caller's own without pins. A token that was altered, or is another team's, is taken
  * as a plain id: it can pin nothing.
- * \param header the caller's text; empty for a new session, which gets \p fresh_id */
+ * \param header the caller's text; empty for a new session, which gets \p new_session_id */
 session_pins read_session(const std::string& header, const std::string& team, const std::string& key,
-                          const std::string& fresh_id);
+                          const std::string& new_session_id);
 
 /** \return the versions that the session may be served by, from cheap to costly: the pinned version of
  * each model of its ladder while it is allowed, else the ladder's, else the established ladder's. */
--- a/src/routing/tier_choice.cpp
+++ b/src/routing/tier_choice.cpp
@@ -12,13 +12,13 @@
 
 ladder_estimate estimate_from(const std::vector<tier_option>& options, std::size_t start, bool may_step_up) {
     ladder_estimate estimate;
-    double reached = 1.0;
+    double reach_probability = 1.0;
     for (std::size_t i = start; i < options.size(); ++i) {
         const double chance = i == start ? options[i].chance : options[i].chance_after_step_up;
-        estimate.cost += reached * options[i].cost;
-        estimate.chance += reached * chance;
+        estimate.cost += reach_probability * options[i].cost;
+        estimate.chance += reach_probability * chance;
         estimate.worst_latency_ms += options[i].latency_ms;
-        reached *= 1.0 - chance;
+        reach_probability *= 1.0 - chance;
         if (!may_step_up) {
             break;
         }
@@ -29,8 +29,8 @@
 // Chances are estimates; a step whose whole ladder misses the target by less than this still counts.
 constexpr double target_slack = 0.01;
 
-bool is_better(const ladder_estimate& candidate, const ladder_estimate& best, const tier_wish& wish) {
-    const double target = wish.target_share - target_slack;
+bool is_better(const ladder_estimate& candidate, const ladder_estimate& best, const tier_requirements& requirements) {
+    const double target = requirements.target_share - target_slack;
     const bool candidate_meets = candidate.chance >= target;
     const bool best_meets = best.chance >= target;
     if (candidate_meets != best_meets) {
@@ -41,13 +41,13 @@
 
 } // namespace
 
-std::size_t choose_start(const std::vector<tier_option>& options, const tier_wish& wish) {
+std::size_t choose_start(const std::vector<tier_option>& options, const tier_requirements& requirements) {
     std::size_t best = options.size() - 1;
-    ladder_estimate best_estimate = estimate_from(options, best, wish.may_step_up);
+    ladder_estimate best_estimate = estimate_from(options, best, requirements.may_step_up);
     for (std::size_t i = 0; i + 1 < options.size(); ++i) {
-        const ladder_estimate candidate = estimate_from(options, i, wish.may_step_up);
-        if (candidate.worst_latency_ms <= wish.latency_budget_ms &&
-            is_better(candidate, best_estimate, wish)) {
+        const ladder_estimate candidate = estimate_from(options, i, requirements.may_step_up);
+        if (candidate.worst_latency_ms <= requirements.latency_budget_ms &&
+            is_better(candidate, best_estimate, requirements)) {
             best = i;
             best_estimate = candidate;
         }
--- a/src/routing/tier_choice.h
+++ b/src/routing/tier_choice.h
@@ -18,7 +18,7 @@
 };
 
 /** What a team asks of the choice. */
-struct tier_wish {
+struct tier_requirements {
     double target_share = 0.95;
     double latency_budget_ms = 30000;
     bool may_step_up = true; ///< false for streams: what has been sent cannot be taken back
@@ -32,6 +32,6 @@
  * meets the target alone is taken.
  * \return the index of the step; if none meets the target, the one that comes closest
  * \pre \p options is not empty */
-std::size_t choose_start(const std::vector<tier_option>& options, const tier_wish& wish);
+std::size_t choose_start(const std::vector<tier_option>& options, const tier_requirements& requirements);
 
 } // namespace laurelhoist
--- a/test/cold_endpoints_test.cpp
+++ b/test/cold_endpoints_test.cpp
@@ -194,7 +194,7 @@
         directory.allowance().cold().set_services({{"pool", engine_start}});
     }
     std::optional<placement> choose(time_point now) {
-        endpoint_wish wish;
+        endpoint_criteria wish;
         wish.pool = "pool";
         return directory.choose(wish, {}, {"", {}}, now);
     }
--- a/test/placement_test.cpp
+++ b/test/placement_test.cpp
@@ -27,8 +27,8 @@
     return {tokens, {1, subject, own}, {500, tokens / 2, tokens / 4}};
 }
 
-endpoint_wish wish_for(const std::string& service) {
-    endpoint_wish wish;
+endpoint_criteria wish_for(const std::string& service) {
+    endpoint_criteria wish;
     wish.pool = service;
     return wish;
 }
@@ -223,10 +223,10 @@
     std::vector<endpoint_record> records = engines(4);
     records[1].release = "v2";
     fixture.directory.update(records, fixture.now);
-    endpoint_wish wish = wish_for("pool");
-    wish.unwanted_release = "v1";
+    endpoint_criteria wish = wish_for("pool");
+    wish.excluded_release = "v1";
     EXPECT_EQ(fixture.directory.choose(wish, prompt(1, 2, 900), large, fixture.now)->endpoint.name, "e1");
-    wish.unwanted_release = "v2";
+    wish.excluded_release = "v2";
     wish.release = "v1";
     EXPECT_NE(fixture.directory.choose(wish, prompt(1, 2, 900), large, fixture.now)->endpoint.name, "e1");
 }
--- a/test/routing_test.cpp
+++ b/test/routing_test.cpp
@@ -12,7 +12,7 @@
 const time_point begin{seconds(100)};
 const std::string key = "a key of the fleet";
 
-endpoint_table make_table(endpoint_policy policy = endpoint_policy::ours) {
+endpoint_table make_table(endpoint_policy policy = endpoint_policy::least_expected_latency) {
     return endpoint_table{load_chart_or_exit(LAUREL_SOURCE_DIR "/charts", "endpoint"), 5, policy};
 }
 
@@ -190,7 +190,7 @@
 TEST(endpoint_table, a_version_that_is_not_loaded_is_looked_for_elsewhere) {
     endpoint_table table = make_table();
     table.update(three_endpoints(), begin);
-    table.on_report("a", {0, 0, {"m@2"}}, begin);
+    table.on_load_report("a", {0, 0, {"m@2"}}, begin);
     table.on_version_missing("b", "m@1", begin);
     for (int i = 0; i < 20; ++i) {
         EXPECT_EQ(choose(table, begin), "c");
@@ -231,13 +231,13 @@
     one.update(endpoints, begin);
     std::reverse(endpoints.begin(), endpoints.end());
     other.update(endpoints, begin);
-    endpoint_wish wish{"pool", "", "", {}, "v2"};
-    wish.endpoint_share = 0.1;
-    const std::vector<endpoint_record> chosen = one.eligible(wish, begin);
+    endpoint_criteria criteria{"pool", "", "", {}, "v2"};
+    criteria.endpoint_share = 0.1;
+    const std::vector<endpoint_record> chosen = one.eligible(criteria, begin);
     ASSERT_EQ(chosen.size(), 1U);
-    EXPECT_EQ(chosen, other.eligible(wish, begin));
-    wish.avoided = {chosen.front().name};
-    ASSERT_EQ(one.eligible(wish, begin).size(), 1U) << "one that fails is replaced by another";
+    EXPECT_EQ(chosen, other.eligible(criteria, begin));
+    criteria.avoided = {chosen.front().name};
+    ASSERT_EQ(one.eligible(criteria, begin).size(), 1U) << "one that fails is replaced by another";
 }
 
 // A release of 96 endpoints is on trial, and 295 hosts of six domains send to the same endpoint without
@@ -251,11 +251,11 @@
                                "pool", "live", "v2"});
         }
         table.update(records, time_point{});
-        endpoint_wish wish;
-        wish.pool = "pool";
-        wish.endpoint_share = 0.01;
+        endpoint_criteria criteria;
+        criteria.pool = "pool";
+        criteria.endpoint_share = 0.01;
         std::multiset<std::string> used;
-        for (const endpoint_record& record : table.eligible(wish, time_point{})) {
+        for (const endpoint_record& record : table.eligible(criteria, time_point{})) {
             used.insert(record.domain);
         }
         return used;
