--- a/src/rollout/release_rollout.cpp
+++ b/src/rollout/release_rollout.cpp
@@ -8,53 +8,53 @@
 
 namespace {
 
-/// Of the exposure bound, while the release is on trial; the rest is for the move.
+/// Fraction of the exposure bound that the trial may use; the rest is for the time after the cutover.
 constexpr double trial_exposure_fraction = 0.4;
-/// Of the hashes of sessions, those that may be chosen for any trial; only they are remembered.
+/// Share of the session hashes that any trial may choose; only these sessions are recorded.
 constexpr double max_trial_share = 0.2;
-/// In which the hosts tell one another of the sessions that they have served, before the trial begins.
+/// Time before the trial in which the hosts exchange the sessions that they have served.
 constexpr duration session_exchange_time = milliseconds(1200);
-/// The rate in the move may be so much above the mean of the roll-out, in a burst of the usual size.
+/// Allowance for a burst of the usual size after the cutover, as a factor of the expected request rate.
 constexpr double rate_margin = 1.25;
-constexpr duration rate_window = milliseconds(1500); ///< three rounds of gossip, so that all hosts are in it
-/// A host that has just started has not heard the counts of the others yet, and leaves it to them when to
-/// move.
+constexpr duration rate_window = milliseconds(1500); ///< three gossip rounds, so that it covers all hosts
+/// A host that has just started lacks the counts of the others, and leaves the cutover to them for this time.
 constexpr duration count_exchange_time = milliseconds(2000);
-constexpr std::int64_t min_good_answers = 10; ///< before everything is moved
-/// Nothing is reported before every host has had time to move (they act within 0.25 s, on counts that are 0.4
-/// s old).
+constexpr std::int64_t min_good_answers = 10; ///< good answers of the new release that the cutover requires
+/// Time for every host to cut over before completion is reported: hosts act within 0.25 s, on counts that are
+/// 0.4 s old.
 constexpr duration min_time_after_cutover = milliseconds(700);
-/// Before the time limit, when the report is made; streams that still run on the old release go on at the new
-/// one. Until then the old release stands ready for a brake: what shows only under everybody's load shows
-/// now. One began to fail 0.45 s after the move; reported 0.3 s later, 0.8 s before the limit, it failed half
-/// of all requests for the rest of the day. Another host's try fits in.
+/// How long before the time limit completion is reported. Until then a brake can still fall back to the old
+/// release, for a fault that shows only under full load: one release began to fail 0.45 s after the cutover,
+/// was reported complete 0.3 s later, 0.8 s before the limit, and failed half of all requests from then on.
+/// The margin leaves time for a second host to write the report. Streams that still run on the old release
+/// continue on the new one.
 constexpr duration report_margin = milliseconds(500);
-/// Evidence that brakes: a good release reaches it once in 2,000 roll-outs.
+/// Evidence that brakes a release: a good one reaches it in one of 2,000 roll-outs.
 constexpr double rollback_evidence = 7.6;
-/// Evidence with which nothing is moved or reported complete: two bad answers more than good ones outweigh.
-/// Three bad answers of a slow trial let half of all requests fail after the move.
+/// Evidence that holds back the cutover and the report of completion: two bad answers beyond those that good
+/// ones offset. Three bad answers in a slow trial preceded a cutover after which half of all requests failed.
 constexpr double suspicious_evidence = 2.5;
-/// Fewer bad answers since the move say nothing: faults of single endpoints give as many.
+/// Fewer bad answers since the cutover are not significant: faults of single endpoints cause as many.
 constexpr double min_bad_answers = 5;
-/// A release is good up to this much above the old one's share of bad answers, and bad from the other on.
-constexpr double default_good_share = 0.98; ///< share of good answers, until the old release has shown its own
-constexpr double tolerated_drop = 0.04;
-constexpr double braked_drop = 0.25;
+constexpr double default_good_share = 0.98; ///< assumed of the old release until enough answers are counted, and never exceeded
+constexpr double tolerated_drop = 0.04; ///< a good release has at most this much more bad answers than the old one
+constexpr double braked_drop = 0.25;    ///< a bad release has at least this much more bad answers
 constexpr std::int64_t min_samples_for_mean = 20;
-constexpr double slow_factor = 4.0;
-/// Of every answer, beside what its prompt takes to read: the network, a step of the engine and the usual
-/// wait.
+constexpr double slow_factor = 4.0; ///< of the mean time to the first byte: a slower answer is bad
+/// Time to the first byte beyond reading the prompt: network, one engine step and the usual queueing.
 constexpr double fixed_overhead_ms = 50.0;
 constexpr double min_slow_excess_ms =
-    150.0; ///< more than the old release's mean, so that small times do not count
+    150.0; ///< excess over the expected time below which an answer is never slow
 constexpr double smoothing = 0.05;
-/// An answer that is under way for so many times as long as usual crawls: the longest prompts and answers
-/// take three times as long as the mean.
+/// An attempt that takes this many times the mean duration is overdue. The longest prompts and answers take
+/// three times the mean.
 constexpr double overdue_factor = 4.0;
-/// Never sooner: an endpoint that has fallen silent is given up within this, and says nothing of its release.
+/// Lower bound, because a silent endpoint is given up within this time, which is no evidence against its
+/// release.
 constexpr duration min_overdue = milliseconds(8000);
-constexpr duration default_overdue = milliseconds(10'000); ///< until the usual length is known
+constexpr duration default_overdue = milliseconds(10'000); ///< used until the mean duration is known
 
+/// Maps \p subject to [0, 1) by its hash.
 double hash_fraction(const std::string& subject) {
     constexpr std::uint64_t parts = 10'000;
     return static_cast<double>(placement_hash("release/" + subject) % parts) / static_cast<double>(parts);
@@ -86,8 +86,9 @@
     return "unknown";
 }
 
-// Against a report that comes after the order's time limit: an order was written while the store, about to
-// drop its history, told its watches nothing. Counted from when it was heard of, its end was 0.5 s late.
+// A new order's age includes max_order_age, so that completion is reported within the time limit. A store that is
+// about to drop its history sends its watches nothing; an order written at that time, counted from when the host
+// saw it, was completed 0.5 s late.
 void rollout_tracker::set_orders(const std::vector<rollout_order>& orders, time_point now, duration max_order_age) {
     std::set<std::string> services;
     for (const rollout_order& order : orders) {
@@ -151,8 +152,7 @@
     return count;
 }
 
-// As much as one endpoint carries: it shows what the release does under the usual load, and the rest of the
-// requests are safe from it.
+// The load of one endpoint: it shows how the release behaves under the usual load and exposes few requests.
 double rollout_tracker::new_trial_share(const rollout_order& order) const {
     const int old_endpoints = std::max(1, endpoints_of_other_releases(order.service, order.release));
     return std::min({1.0 / old_endpoints, trial_exposure_fraction * settings_.exposure_share, max_trial_share});
@@ -186,9 +186,8 @@
     const rollout_record& rollout = found->second;
     const std::string& release = rollout.order.release;
     const bool has_new = endpoints_of(service, release) > 0;
-    // Against a brake that crosses another host's report of completion: the old endpoints stop with that
-    // report, and hosts that went by the brake would find no endpoint at all. What the store says is over
-    // holds for every host alike.
+    // The state in the store takes precedence over a brake that crosses another host's report of completion:
+    // the old endpoints stop at that report, and hosts that followed the brake would have no endpoint left.
     if (rollout.order.state == rollout_state::completed) {
         return {has_new ? release : std::string{}, ""};
     }
@@ -253,8 +252,9 @@
     return is_wanted ? sessions_.take_updates(now) : std::vector<session_use>{};
 }
 
-// Told by the ratio of the measured to the expected time: a larger model or a longer prompt takes several
-// times as long on any release, and that must not speak against one of them. Both releases are included alike.
+// Compares the ratio of the measured to the expected time: a larger model or a longer prompt takes several
+// times as long on any release, which must not count against one of them. The mean is the old releases', and
+// answers of both old and new releases are compared with it.
 bool rollout_tracker::is_slow(const release_route& key, const response_timing& timing) {
     const double ms = to_ms(timing.first_byte);
     const bool has_expectation = timing.expected_ms > 0;
@@ -280,8 +280,8 @@
     return std::max(min_overdue, std::chrono::duration_cast<duration>(threshold));
 }
 
-// A stream may begin in time and then crawl. Judged at its end, which comes when its caller has given up or
-// its time is over, it speaks against its release only after everything has moved there.
+// Counts an attempt of the new release as bad as soon as it is overdue. A stream may begin in time and then
+// proceed very slowly; it ends when its caller gives up or its deadline passes, which may be after the cutover.
 void rollout_tracker::count_overdue(const rollout_record& rollout, time_point now) {
     for (auto& [key, starts] : under_way_) {
         if (key.service != rollout.order.service || key.release != rollout.order.release) {
@@ -295,8 +295,8 @@
     }
 }
 
-// At the beginning of an answer and not at its end: streams of a release that was eight times as slow ended
-// 15 s after they were asked for, and everything had moved by then.
+// Slow answers are counted when they begin rather than when they end: streams of a release that was eight times
+// as slow ended 15 s after the request, after the cutover.
 bool rollout_tracker::on_first_byte_received(const release_route& key, const response_timing& timing) {
     if (!is_slow(key, timing)) {
         return false;
@@ -321,17 +321,17 @@
 }
 
 std::vector<rollout_gossip> rollout_tracker::own_gossip(time_point now) const {
-    std::vector<rollout_gossip> news;
+    std::vector<rollout_gossip> gossip;
     for (const auto& [service, rollout] : rollouts_) {
         const auto age = std::chrono::duration_cast<milliseconds>(now - rollout.since).count();
-        news.push_back(
+        gossip.push_back(
             {service, rollout.order.release, age, rollout.is_braked, rollout.trial_share, rollout.has_moved});
     }
-    return news;
+    return gossip;
 }
 
 void rollout_tracker::merge(const std::string& host, const std::vector<release_counts>& counts,
-                            const std::vector<rollout_gossip>& news, time_point now) {
+                            const std::vector<rollout_gossip>& gossip, time_point now) {
     for (const release_counts& seen : counts) {
         release_counts& held = by_host_[host][{seen.service, seen.release, seen.route}];
         const std::int64_t good = std::max(held.good, seen.good);
@@ -340,20 +340,21 @@
         held.good = good;
         held.bad = bad;
     }
-    for (const rollout_gossip& item : news) {
+    for (const rollout_gossip& item : gossip) {
         const auto found = rollouts_.find(item.service);
         if (found == rollouts_.end() || found->second.order.release != item.release) {
             continue;
         }
-        // The eldest age heard: a host that has just started takes over the time of the others, and the share
-        // with it, so that all hosts choose the same sessions.
+        // The largest age wins: a host that has just started adopts the age and the trial share of the others,
+        // so that all hosts choose the same sessions.
         const time_point since = now - milliseconds(item.age_ms);
         if (since < found->second.since) {
             found->second.since = since;
             found->second.trial_share = item.trial_share > 0 ? item.trial_share : found->second.trial_share;
         }
         found->second.is_braked = found->second.is_braked || item.is_braked;
-        // Hosts that have restarted count less and would move late, one by one, up to the time limit.
+        // A host follows the cutover of another: hosts that have restarted count fewer attempts and would cut
+        // over late, one by one, up to the time limit.
         if (item.has_moved) {
             cut_over(found->second, now);
         }
@@ -401,8 +402,9 @@
     return sum;
 }
 
-// Evidence never falls below zero: a release that turns bad after hundreds of good answers is braked as
-// soon as one that was bad from the start.
+// Adds the answers since the last call to the evidence of each route. The evidence never falls below zero, so
+// that a release that turns bad after hundreds of good answers is braked as soon as one that was bad from the
+// start.
 void rollout_tracker::update_evidence(rollout_record& rollout) {
     std::set<std::string> routes;
     for_each_count(rollout.order.service, [&](const release_route& key, const release_counts&) {
@@ -435,10 +437,10 @@
     }
 }
 
-// The exposure bound holds for everything that all hosts send over the whole roll-out, whatever the evidence
-// says: a release that fails only under load, or from some moment on, may look good until all traffic is
-// there. So all traffic moves so late that even if it stays until the time limit the release has had no more
-// than its share.
+// The exposure bound covers everything that all hosts send during the whole roll-out, whatever the evidence: a
+// release that fails only under load, or only after some time, may look good until it has all the traffic. So
+// the cutover comes so late that the release stays within its share even if it keeps all traffic until the
+// time limit.
 bool rollout_tracker::fits_exposure_bound(const rollout_record& rollout, time_point now) const {
     const sent_totals sent = sent_in(rollout);
     const auto sent_to_new = static_cast<double>(sent.to_new_release);
@@ -446,8 +448,8 @@
     const double age_ms = std::max(1.0, to_ms(now - rollout.since));
     const double left_ms = std::max(0.0, to_ms(rollout.order.time_limit) - age_ms);
     const double expected = total / age_ms * left_ms;
-    // A burst that began just now raises the mean only a little: moved by the mean, a release had 341 of
-    // 1,539 requests where 261 were allowed.
+    // A burst that has just begun hardly raises the mean rate: with the mean alone, a release got 341 of 1,539
+    // requests where 261 were allowed.
     const double expected_after_cutover = rate_margin * std::max(expected, rollout.recent_per_ms * left_ms);
     return sent_to_new + expected_after_cutover <= settings_.exposure_share * (total + expected);
 }
@@ -493,10 +495,10 @@
         rollout.is_on_trial = false;
         return;
     }
-    // From when this host has seen the order, as well: only then did it begin to tell of its sessions.
+    // The time since this host saw the order counts as well: only then did it begin to send its sessions.
     rollout.is_on_trial =
         rollout.is_on_trial || (age > session_exchange_time && now - rollout.seen_at > session_exchange_time);
-    // A release whose endpoints only crash gives no bad answers; it has to give good ones.
+    // A release whose endpoints only crash gives no bad answers, so good ones are required.
     const bool has_shown_itself =
         good_answers_of(rollout.order.service, rollout.order.release) >= min_good_answers;
     const bool is_second_half = age >= rollout.order.time_limit / 2;
@@ -513,10 +515,10 @@
                        [](const auto& item) { return item.second >= suspicious_evidence; });
 }
 
-// Load pattern: a release fails only under everybody's load, which it gets a second before its time ends. A
-// tenth of the answers failed by then, spread over routes and mixed with answers of the quiet moment before:
-// too few for the sequential test, enough not to stop the old release. What is held back comes late if it was
-// sound.
+// Guards the report of completion against a release that fails only under full load, which it gets a second
+// before the time limit. A tenth of the answers failed by then, spread over routes and mixed with good answers
+// from before: too few for the sequential test of any route. If the release is sound after all, its report is
+// late.
 bool rollout_tracker::has_worsened(const rollout_record& rollout) const {
     const totals new_totals = total_of(rollout, "", true);
     const auto bad = static_cast<double>(new_totals.bad - rollout.totals_at_cutover.bad);
--- a/src/rollout/rollout.h
+++ b/src/rollout/rollout.h
@@ -1,6 +1,6 @@
 /** \file
- * The one public header of the rollout library: the evidence about versions, the brake, and the steps of
- * a roll-out that any steward can continue.
+ * The public header of the rollout library: the evidence about versions, the brake, the steps of a bundle's
+ * roll-out, and the roll-out of a new release of a service's endpoints.
  */
 #pragma once
 
--- a/src/rollout/session_memory.cpp
+++ b/src/rollout/session_memory.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-/// Beyond the session's lifetime, for what a message between hosts takes and for clocks that run apart.
+/// Added to a session's lifetime for the delay of messages between hosts and for clock drift.
 constexpr duration expiry_margin = milliseconds(1000);
-constexpr std::size_t max_updates_per_message = 40; ///< in one datagram, of some 30 bytes each
+constexpr std::size_t max_updates_per_message = 40; ///< keeps a message within one datagram, at some 30 bytes per session
 
 } // namespace
 
@@ -43,17 +43,17 @@
 }
 
 std::vector<session_use> session_memory::take_updates(time_point now) {
-    std::vector<session_use> news;
+    std::vector<session_use> updates;
     for (auto& [name, entry] : uses_) {
-        if (!entry.is_unsent || news.size() == max_updates_per_message) {
+        if (!entry.is_unsent || updates.size() == max_updates_per_message) {
             continue;
         }
         const duration age = entry.under_way > 0 ? duration::zero() : now - entry.at;
-        news.push_back({name.first, name.second, std::chrono::duration_cast<milliseconds>(age).count()});
-        // While a request is under way its end is not known yet, so it is received again until it is over.
+        updates.push_back({name.first, name.second, std::chrono::duration_cast<milliseconds>(age).count()});
+        // While a request is in flight its end is not known, so its session is sent again each time.
         entry.is_unsent = entry.under_way > 0;
     }
-    return news;
+    return updates;
 }
 
 void session_memory::forget_old(time_point now) {
--- a/src/routing/endpoint_table.cpp
+++ b/src/routing/endpoint_table.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-constexpr int failures_to_eject = 3;
-constexpr duration first_ejection = seconds(2);
+constexpr int failures_to_eject = 3; ///< consecutive failures that eject an endpoint
+constexpr duration first_ejection = seconds(2); ///< doubled with each further failure
 constexpr duration max_ejection = seconds(30);
 constexpr duration missing_version_ttl = seconds(2);
 constexpr duration report_ttl = seconds(5);
@@ -17,10 +17,10 @@
 constexpr std::size_t candidates_compared = 3;
 constexpr double smoothing = 0.2;
 constexpr double limit_step = 0.5;
-constexpr double limit_decrease_factor = 0.8;     ///< of the limit, at a failure
-constexpr double prefix_hit_cost_factor = 0.7; ///< a cached prefix is worth this share of the expected time
-constexpr duration reinstatement_lookahead = milliseconds(500);
-constexpr duration leaving_override_time = seconds(60);
+constexpr double limit_decrease_factor = 0.8; ///< applied to the concurrency limit at a failure
+constexpr double prefix_hit_cost_factor = 0.7; ///< applied to the expected time if the prefix is cached
+constexpr duration reinstatement_lookahead = milliseconds(500); ///< an ejection that ends within this is disregarded
+constexpr duration leaving_override_time = seconds(60); ///< a "leaving" mark outweighs the list for this long
 
 } // namespace
 
@@ -42,8 +42,8 @@
         endpoint_state& endpoint = endpoints_[record.name];
         const bool is_restarted = !is_new && is_restart_of(record, endpoint.record);
         if (is_restarted) {
-            // What the earlier process did says nothing of this one: an ejected endpoint that came back empty
-            // and sound would rest for up to 30 s.
+            // Drops the state of the earlier process: its failures would keep a healthy endpoint ejected for up
+            // to 30 s after a restart.
             const int in_flight = endpoint.in_flight;
             endpoint = endpoint_state{};
             endpoint.in_flight = in_flight;
@@ -57,7 +57,7 @@
             mark_leaving(record.name, now);
         } else if (endpoint.state == "gone" ||
                    (endpoint.state == "leaving" && now - endpoint.leaving_since > leaving_override_time)) {
-            // The list lags: "live" reinstatement_lookahead after the endpoint itself said "leaving" is old news.
+            // The list lags, so "live" shortly after the endpoint itself said "leaving" is ignored.
             apply_event(endpoint, "returned");
         }
     }
@@ -72,8 +72,8 @@
 }
 
 void endpoint_table::set_slots(const std::string& pool, int slots, std::size_t sharers) {
-    // Each entry starts with twice its even share of an endpoint; the limit then follows what the
-    // endpoint's answers show.
+    // Each entry starts with twice its even share of an endpoint's slots; the limit then adapts to the queues
+    // that the endpoint reports and to its failures.
     const double fair =
         std::max(1.0, std::floor(slots / static_cast<double>(std::max<std::size_t>(1, sharers))));
     const limit_range range{fair, std::min<double>(slots, 2 * fair), static_cast<double>(slots)};
@@ -195,10 +195,11 @@
 
 namespace {
 
-/// With so many endpoints to each failure domain, every domain has at least one among those that are kept.
+/// With at least this many endpoints per failure domain, the kept share includes one of every domain.
 constexpr std::size_t min_endpoints_per_domain = 8;
 
-/** Brings one record of each failure domain to the front, then the second of each; returns the domains. */
+/** Reorders the records round-robin over their failure domains: the first of each, then the second of each.
+ * \return the number of domains */
 std::size_t interleave_domains(std::vector<endpoint_record>& records) {
     std::map<std::string, std::size_t> placed;
     std::vector<std::pair<std::size_t, endpoint_record>> rounds;
@@ -213,11 +214,13 @@
     return placed.size();
 }
 
-// By rendezvous hash, so that hosts whose lists differ for a moment still choose nearly the same ones.
+// Keeps a share of the endpoints, chosen by rendezvous hash, so that hosts whose lists differ for a moment still
+// choose nearly the same ones.
 //
-// Load pattern: a release of 96 endpoints is on trial with one hundredth of the requests, which 295 hosts of
-// six domains send to the same endpoint without knowing of one another's. Seven of 20 answers took four times
-// as long as usual, and a sound release was braked. Hosts of one domain know of one another's.
+// On a large fleet the share includes an endpoint of each failure domain, because hosts of one domain know each
+// other's load and those of different domains do not. With a single endpoint, 295 hosts of six domains sent one
+// hundredth of the requests for a release of 96 endpoints to it: seven of 20 answers took four times as long as
+// usual, and a good release was braked.
 void keep_endpoint_share(std::vector<endpoint_record>& records, const endpoint_criteria& criteria) {
     if (criteria.endpoint_share >= 1.0 || records.empty()) {
         return;
@@ -310,8 +313,8 @@
     return best;
 }
 
-// An endpoint that reports a queue has more than it can run. The time of one answer is no sign of that:
-// it differs several times over with the length of the answer and with a cached prefix.
+// Lowers the limit while the endpoint reports a queue, and raises it otherwise. Answer times do not show
+// overload: they vary several times over with the length of the answer and with a cached prefix.
 void endpoint_table::adapt_limit(endpoint_state& endpoint) {
     const limit_range range = limits_of(endpoint.record.pool);
     if (endpoint.report.queued > 0) {
--- a/src/routing/endpoint_table.h
+++ b/src/routing/endpoint_table.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines what an entry knows of its endpoints and how it chooses one.
+ * Defines the state that an entry keeps of each endpoint, and the choice of an endpoint for a request.
  */
 #pragma once
 
@@ -13,83 +13,85 @@
 
 namespace laurelhoist {
 
-/** What an endpoint says of itself with an answer. Late by nature; a hint, never truth. */
+/** Load that an endpoint reports with an answer. It is out of date on arrival, so it is only a hint. */
 struct load_report {
-    int running = -1; ///< requests it runs, all entries' together; negative: not said
-    int queued = 0;
-    std::vector<std::string> versions; ///< model@version loaded; empty: not said
+    int running = -1; ///< requests that it runs for all entries together; negative: not reported
+    int queued = 0;   ///< requests that wait in the endpoint's own queue
+    std::vector<std::string> versions; ///< loaded versions as model@version; empty: not reported
 };
 LAUREL_VALUE_TYPE(load_report, running, queued, versions)
 
-/** How a call ended, for the endpoint's standing. */
+/** How a call to an endpoint ended. */
 enum class call_result {
     answered,
-    refused_not_run, ///< refused with the certainty that nothing ran (no connection, not loaded, busy)
-    leaving,         ///< the endpoint says that it is leaving
+    refused_not_run, ///< refused, and certainly not executed (no connection, version not loaded, busy)
+    leaving,         ///< the endpoint says that it is shutting down
     failed,
     cancelled,
 };
 
-/** A criteria for an endpoint. */
+/** What an endpoint must satisfy to serve a request. */
 struct endpoint_criteria {
     std::string pool;
-    std::string version;            ///< model@version, empty for services
-    std::string prefix;             ///< of the prompt, for the prefix cache; empty: none
-    std::set<std::string> avoided;  ///< endpoints that have failed this request
-    std::string release{};          ///< of the endpoint's software; empty: any
-    std::string excluded_release{}; ///< that the endpoint's software must not be; empty: none
-    double endpoint_share = 1.0;    ///< of the endpoints that fit, the same ones on every host; at least one
+    std::string version;            ///< model@version; empty for services without versions
+    std::string prefix;             ///< prefix of the prompt, for the endpoint's prefix cache; empty: none
+    std::set<std::string> avoided;  ///< names of endpoints that have already failed this request
+    std::string release{};          ///< software release that the endpoint must run; empty: any
+    std::string excluded_release{}; ///< software release that the endpoint must not run; empty: none
+    double endpoint_share = 1.0;    ///< share of the matching endpoints to use: the same ones on every host, at least one
 };
 
-/** Whether an endpoint that takes work may be given some, for reasons beyond its own standing. */
+/** Tells whether an endpoint that accepts work may be used, by rules beyond the endpoint's own state. */
 using endpoint_filter = std::function<bool(const endpoint_record&)>;
 
-/** How an endpoint is chosen; the experiment program compares them. */
+/** How an endpoint is chosen. The benchmark program compares the policies. */
 enum class endpoint_policy { least_expected_latency, round_robin, random, least_in_flight };
 
-/** The endpoints of one entry. */
+/** The endpoints that one entry knows, with their health, load and cached prefixes. */
 class endpoint_table {
 public:
-    /** \param lifecycle charts/endpoint.scxml */
+    /** \param lifecycle the state machine of an endpoint, charts/endpoint.scxml */
     endpoint_table(chart lifecycle, std::uint64_t seed, endpoint_policy policy = endpoint_policy::least_expected_latency);
 
-    /** Takes the list as the stewards push it; endpoints missing from it are gone. */
+    /** Replaces the list of endpoints. One that is missing is dropped as soon as its calls have ended. */
     void update(const std::vector<endpoint_record>& endpoints, time_point now);
-    /** Sets how many requests one endpoint of \p pool runs before it slows, and how many entries share it. */
+    /** Sets how many requests an endpoint of \p pool runs before it slows down, and how many entries share
+     * each endpoint. */
     void set_slots(const std::string& pool, int slots, std::size_t sharers);
-    /** Notes, before the list says so, that an endpoint is leaving. */
+    /** Records that an endpoint is shutting down, possibly before the list shows it. */
     void mark_leaving(const std::string& name, time_point now);
 
-    /** \return the endpoint to call, or nothing if every one is full or out. */
+    /** \return the endpoint to call, or nothing if none matches with room for a request. */
     std::optional<endpoint_record> choose(const endpoint_criteria& criteria, time_point now,
                                           const endpoint_filter& may_be_used = nullptr);
-    /** \return the endpoints that may be called for \p criteria now; empty if every one is full or out.
-     * \param may_be_used leaves out others before a share of them is taken; null: none */
+    /** \return the endpoints that may be called for \p criteria now; empty if none matches with room.
+     * \param may_be_used excludes endpoints before the share is taken; null: excludes none */
     std::vector<endpoint_record> eligible(const endpoint_criteria& criteria, time_point now,
                                           const endpoint_filter& may_be_used = nullptr);
-    /** \return whether \p name may be given new work. */
+    /** \return whether \p name is live or probing, and so may get new requests. */
     bool takes_work(const std::string& name) const;
-    /** \return whether some endpoint of \p pool, full or not, serves \p version now or very soon. */
+    /** \return whether some endpoint of \p pool, full or not, can serve \p version now or within 0.5 s. */
     bool could_serve(const std::string& pool, const version_name& version, time_point now,
                      const endpoint_filter& may_be_used = nullptr) const;
 
     void on_call_started(const std::string& name, const endpoint_criteria& criteria, time_point now);
     void on_call_ended(const std::string& name, call_result result, duration took, time_point now);
     void on_load_report(const std::string& name, const load_report& report, time_point now);
-    /** Notes that \p name said it does not have \p version. */
+    /** Records that \p name answered that it has not loaded \p version. */
     void on_version_missing(const std::string& name, const version_name& version, time_point now);
 
     int in_flight(const std::string& pool) const;
-    /** \return requests that the pool's endpoints together take now from this entry. */
+    /** \return how many requests of this entry the endpoints of \p pool run at once under their limits. */
     double capacity(const std::string& pool) const;
-    /** \return the smoothed time of an answer of \p pool in milliseconds, 0 if unknown. */
+    /** \return the mean over the endpoints of \p pool of their smoothed answer times, in milliseconds; 0 if
+     * unknown. */
     double average_latency_ms(const std::string& pool) const;
     std::size_t size() const { return endpoints_.size(); }
 
 private:
-    /** Bounds of the requests that this entry has in flight at one endpoint of a pool. */
+    /** Bounds of the concurrency limit: the requests that this entry has in flight at one endpoint. */
     struct limit_range {
-        double fair = 2; ///< this entry's even share of the slots; never below, or slots would idle
+        double fair = 2; ///< this entry's even share of the slots; a queue does not lower the limit further, or slots would idle
         double initial = 4;
         double largest = 8;
     };
--- a/src/routing/fair_queue.h
+++ b/src/routing/fair_queue.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines the queue before a full pool: weighted fair among teams, bounded for each.
+ * Defines the queue of a full pool: weighted fair queueing among teams.
  */
 #pragma once
 
@@ -12,11 +12,11 @@
 
 namespace laurelhoist {
 
-/** Requests (by id) that wait for a slot of one pool.
+/** Ids of the requests that wait for a slot of one pool.
  *
  * Each team has a virtual time that grows by 1/weight with each request taken; the team with the smallest
- * is served next. A team that was idle starts at the queue's time, so it can neither save up turns nor
- * be made to wait behind a flood of another. */
+ * virtual time is served next. A team that was idle starts at the queue's virtual time, so it neither
+ * accumulates credit while idle nor waits behind another team's backlog. */
 class fair_queue {
 public:
     struct queued_request {
@@ -25,17 +25,17 @@
     };
 
     void push(const std::string& team, const std::string& request_id, time_point now);
-    /** Puts a request that has run once (a retry or a step up) before the others of its team. */
+    /** Puts a request that has already run once (a retry or a step up) ahead of its team's others. */
     void push_front(const std::string& team, const std::string& request_id, time_point now);
-    /** \param weight_of the weight of a team
-     * \param may_take whether the team may take a slot now (its limit of requests in flight)
-     * \return the next request, or nothing if none may be taken */
+    /** \param weight_of returns the weight of a team
+     * \param may_take returns whether a team may take a slot now, by its limit of requests in flight
+     * \return the id of the next request, or nothing if none may be taken */
     std::optional<std::string> pop(const std::function<int(const std::string&)>& weight_of,
                                    const std::function<bool(const std::string&)>& may_take);
-    /** Removes a request that was given up. */
+    /** Removes a request that has been cancelled. */
     void remove(const std::string& team, const std::string& request_id);
 
-    /** \return the share of the slots that \p team gets while the teams that wait now go on waiting. */
+    /** \return the share of the slots that \p team gets while the same teams have requests waiting. */
     double share_of(const std::string& team, const std::function<int(const std::string&)>& weight_of) const;
     std::size_t size() const;
     std::size_t size_of(const std::string& team) const;
@@ -45,6 +45,7 @@
         std::deque<queued_request> items;
         double virtual_time = 0;
     };
+    /** \return the queue of \p team, its virtual time brought up to the queue's if the team was idle. */
     team_queue& activate(const std::string& team);
 
     std::map<std::string, team_queue> teams_;
--- a/src/routing/quality_estimator.cpp
+++ b/src/routing/quality_estimator.cpp
@@ -4,14 +4,14 @@
 
 namespace {
 
-constexpr double signed_prior_weight = 8;  ///< the signed-off prior weighs as much as this many ratings
-constexpr double version_prior_weight = 15; ///< the version's own record, for a team and kind
-constexpr double rating_decay = 0.995;   ///< of older ratings at each new one: a memory of some 200
-constexpr std::size_t max_subjects = 20000;
-constexpr double credit_decay = 0.998;     ///< of older answers at each new one: a memory of some 500
-constexpr double credit_min_answers = 100; ///< answers before anything may be spent
-constexpr double credit_margin = 0.01;    ///< the share stays this much above the target
-constexpr double credit_max_shortfall = 0.15;     ///< no stream goes to a version this much below the target
+constexpr double signed_prior_weight = 8;  ///< weight of the signed-off quality, in ratings
+constexpr double version_prior_weight = 15; ///< weight of the version's estimate as the prior of a team and kind, in ratings
+constexpr double rating_decay = 0.995;   ///< of older ratings at each new one: a window of some 200 ratings
+constexpr std::size_t max_subjects = 20000; ///< when exceeded, only the estimates by version are kept
+constexpr double credit_decay = 0.998;     ///< of older answers at each new one: a window of some 500 answers
+constexpr double credit_min_answers = 100; ///< decayed count of answers that lowering the target requires
+constexpr double credit_margin = 0.01;    ///< the team's share must exceed its target by this
+constexpr double credit_max_shortfall = 0.15;     ///< how far the target is lowered for streams
 
 } // namespace
 
--- a/src/routing/retry_budget.h
+++ b/src/routing/retry_budget.h
@@ -1,6 +1,6 @@
 /** \file
- * Defines the bound on second runs: a token bucket that first attempts fill, so that second runs cannot
- * multiply the load of a pool.
+ * Defines the retry budget: a token bucket that first attempts fill, so that retries cannot multiply the load
+ * of a pool.
  */
 #pragma once
 
@@ -8,19 +8,20 @@
 
 namespace laurelhoist {
 
-/** How many second runs are allowed. */
+/** How many retries are allowed. */
 struct retry_allowance {
-    double per_first_attempt = 0.2; ///< in a steady stream, of the first attempts
-    double burst = 20.0;            ///< the bucket size
+    double per_first_attempt = 0.2; ///< tokens that each first attempt adds: the retry ratio under steady load
+    double burst = 20.0;            ///< capacity of the bucket: retries in a burst
 };
 
+/** Token bucket of retries; starts full. */
 class retry_budget {
 public:
     explicit retry_budget(const retry_allowance& allowance = {})
         : allowance_{allowance}, tokens_{allowance.burst} {}
 
     void on_first_attempt() { tokens_ = std::min(allowance_.burst, tokens_ + allowance_.per_first_attempt); }
-    /** \return whether a second run may be made now; takes its token. */
+    /** Takes a token if there is one. \return whether a retry may be made now. */
     bool try_take() {
         if (tokens_ < 1.0) {
             return false;
--- a/src/routing/routing.h
+++ b/src/routing/routing.h
@@ -1,6 +1,6 @@
 /** \file
- * The one public header of the routing library: the decisions about one request. No I/O, no clock of its
- * own: every decision is a function of its arguments and of state that events have built up.
+ * The public header of the routing library, which decides about one request at a time. It does no I/O and
+ * reads no clock: each decision depends on its arguments and on the events passed in before.
  */
 #pragma once
 
--- a/src/routing/session_token.cpp
+++ b/src/routing/session_token.cpp
@@ -32,6 +32,7 @@
     return document == nullptr ? nullptr : find_team(*document, team);
 }
 
+/** \return the version of \p model on the team's ladder; empty if there is none. */
 version_name ladder_version_of(const team_entry* team, const std::string& model) {
     if (team == nullptr) {
         return {};
--- a/src/routing/session_token.h
+++ b/src/routing/session_token.h
@@ -1,6 +1,6 @@
 /** \file
- * Defines the session token: the pins of a session travel with the caller, signed, so that a session
- * keeps its versions on any entry host and through the loss of every one of them.
+ * Defines the session token: the caller carries the versions that its session is pinned to, signed, so that
+ * the session keeps them on any entry host and even when all of them restart.
  */
 #pragma once
 
@@ -8,13 +8,13 @@
 
 namespace laurelhoist {
 
-/** A session and the versions it stays on. */
+/** A session and the versions that it is pinned to. */
 struct session_pins {
     std::string team;
     std::string session;
     std::map<std::string, std::string> version_by_model;
-    /// The configuration that the pins were made under. An entry that holds an older one does not know the
-    /// versions pinned by a later, and would move the session; it waits until it has caught up.
+    /// Revision of the configuration under which the pins were made. An entry with an older configuration
+    /// may not know the pinned versions and would move the session, so it waits until it has caught up.
     std::int64_t revision = 0;
 };
 LAUREL_VALUE_TYPE(session_pins, team, session, version_by_model, revision)
@@ -22,15 +22,16 @@
 /** \return the token that carries \p pins, signed with \p key. */
 std::string encode_session(const session_pins& pins, const std::string& key);
 
-/** Reads what a caller sent as its session: a token of ours for the same team, or, failing that, a plain
- * session id of the caller's own without pins. A token that was altered, or is another team's, is taken
- * as a plain id: it can pin nothing.
- * \param header the caller's text; empty for a new session, which gets \p new_session_id */
+/** Reads the session header of a request: a token signed with \p key for the same team, or else a session id
+ * of the caller's choice without pins. A token that was altered or belongs to another team is taken as such
+ * an id, so it pins nothing.
+ * \param header the header's value; empty for a new session, which gets \p new_session_id */
 session_pins read_session(const std::string& header, const std::string& team, const std::string& key,
                           const std::string& new_session_id);
 
-/** \return the versions that the session may be served by, from cheap to costly: the pinned version of
- * each model of its ladder while it is allowed, else the ladder's, else the established ladder's. */
+/** \return the versions that may serve the session, in the order of its team's ladder from cheap to costly.
+ * For each model it is the pinned version if that is allowed, else the ladder's, else that of the established
+ * bundle's ladder; a model with no allowed version is left out. */
 std::vector<version_name> resolve_ladder(const fleet_view& view, const session_pins& pins);
 
 /** \return `model` of `model@version`. */
--- a/src/routing/tier_choice.cpp
+++ b/src/routing/tier_choice.cpp
@@ -4,10 +4,11 @@
 
 namespace {
 
+/** Estimates for a request that starts at one step and may step up to the end of the ladder. */
 struct ladder_estimate {
-    double cost = 0;
-    double chance = 0;
-    double worst_latency_ms = 0;
+    double cost = 0;             ///< expected cost
+    double chance = 0;           ///< probability that some step meets the score
+    double worst_latency_ms = 0; ///< time if every step is reached
 };
 
 ladder_estimate estimate_from(const std::vector<tier_option>& options, std::size_t start, bool may_step_up) {
@@ -26,7 +27,7 @@
     return estimate;
 }
 
-// Chances are estimates; a step whose whole ladder misses the target by less than this still counts.
+// Chances are estimates, so one that misses the target by less than this still meets it.
 constexpr double target_slack = 0.01;
 
 bool is_better(const ladder_estimate& candidate, const ladder_estimate& best, const tier_requirements& requirements) {
--- a/test/rollout_test.cpp
+++ b/test/rollout_test.cpp
@@ -16,8 +16,8 @@
 
 } // namespace
 
-// Reports of entries come late, doubled and out of order over several stewards. All stewards must come to
-// the same sums, or one would brake what another rolls on.
+// Reports of entries reach the stewards late, duplicated and in different orders. All stewards must compute the
+// same sums, or one would brake a roll-out that another continues.
 RC_GTEST_PROP(evidence_pool, order_and_doubling_change_nothing, (const std::vector<std::uint8_t>& values)) {
     evidence_pool one;
     evidence_pool other;
@@ -31,22 +31,22 @@
     RC_ASSERT(one.total("m@1") == other.total("m@1"));
 }
 
-TEST(brake, tells_bad_from_good) {
+TEST(brake, brakes_a_bad_version_and_passes_a_good_one) {
     const brake_hypotheses hypotheses = hypotheses_for(0.9, {}, {});
     EXPECT_EQ(evaluate(counts_of(5, 1), hypotheses), brake_verdict::undecided);
     EXPECT_EQ(evaluate(counts_of(20, 14), hypotheses), brake_verdict::braked);
     EXPECT_EQ(evaluate(counts_of(100, 9), hypotheses), brake_verdict::passed);
 }
 
-// The rater turns harsh for everybody one morning. A good version under roll-out must not be braked for it.
+// The rater becomes stricter for all versions. A good version under roll-out must not be braked for it.
 TEST(brake, a_drifting_rater_shifts_the_baseline) {
-    const brake_hypotheses harsh = hypotheses_for(0.9, counts_of(1000, 400), {});
-    EXPECT_NE(evaluate(counts_of(60, 24), harsh), brake_verdict::braked);
+    const brake_hypotheses strict_rater = hypotheses_for(0.9, counts_of(1000, 400), {});
+    EXPECT_NE(evaluate(counts_of(60, 24), strict_rater), brake_verdict::braked);
     EXPECT_EQ(evaluate(counts_of(60, 24), hypotheses_for(0.9, {}, {})), brake_verdict::braked);
 }
 
-// A good version is braked by chance in under 1 of 1,000 roll-outs, a clearly bad one after few answers.
-TEST(brake, error_chances_hold_over_many_rollouts) {
+// Random answers must not brake a good version in more than 1 of 1,000 roll-outs.
+TEST(brake, a_good_version_is_braked_in_under_one_of_1000_rollouts) {
     const brake_hypotheses hypotheses = hypotheses_for(0.9, {}, {});
     random_source random(42);
     int false_brakes = 0;
@@ -62,7 +62,7 @@
     EXPECT_LT(false_brakes, rollouts / 1000);
 }
 
-TEST(step_plan, a_step_waits_for_bake_time_capacity_and_verdict) {
+TEST(step_plan, a_step_waits_for_bake_time_capacity_and_evidence) {
     bundle rolling;
     rolling.rollout.steps = {{0.1, 1000}, {1.0, 1000}};
     bundle_status status{"", "rolling", "", 0, 0.1, 1};
@@ -80,7 +80,7 @@
     EXPECT_EQ(next_step(rolling, status, milliseconds(9000), true, undecided), step_action::wait);
 }
 
-TEST(step_plan, the_first_share_waits_for_loaded_capacity_only) {
+TEST(step_plan, the_first_step_waits_only_for_loaded_capacity) {
     bundle rolling;
     rolling.rollout.steps = {{0.1, 1000}, {1.0, 1000}};
     const bundle_status status{"", "rolling", "", -1, 0.0, 1};
@@ -88,7 +88,7 @@
     EXPECT_EQ(next_step(rolling, status, duration{}, true, {}), step_action::step);
 }
 
-TEST(bake_timer, a_resumed_rollout_bakes_anew) {
+TEST(bake_timer, a_resumed_rollout_restarts_the_bake_time) {
     bake_timer watch;
     fleet_head head;
     head.rolling = "b";
@@ -129,7 +129,7 @@
             tracker.on_outcome(key, is_good);
         }
     }
-    /** Outcomes on \p release, good and bad by turns of \p period; the last of each is bad. */
+    /** Records \p count answers of \p release, of which each \p period-th is bad; with period 0 none is. */
     void record(const std::string& release, int count, int period) {
         for (int i = 1; i <= count; ++i) {
             tracker.on_started({"pool", release, "drafts"}, "", start);
@@ -155,10 +155,9 @@
     time_point start = time_point{} + seconds(100);
 };
 
-// An adviser's thread jumps to the new release in the first half of a roll-out, and its answers change under
-// the farmer's eyes. The thread had been served by the old release seconds before, by this host or by
-// another.
-TEST(release_rollout, sessions_under_way_stay_in_the_first_half) {
+// A session changes release in the first half of a roll-out, although the old release has served it seconds
+// before, on this host or on another.
+TEST(release_rollout, recent_sessions_stay_on_the_old_release_in_the_first_half) {
     rollout_fixture rollout;
     for (int i = 0; i < 1000; ++i) {
         const std::string session = "session" + std::to_string(i);
@@ -177,23 +176,23 @@
     EXPECT_EQ(rollout.choice_of("session1", seconds(5)).excluded, "v2");
 }
 
-// Every request of a service carries a session, and nobody meets the new release before everybody does.
-TEST(release_rollout, sessions_that_begin_try_the_new_release) {
+// Every request of a service carries a session, so the trial gets no requests unless new sessions take part.
+TEST(release_rollout, a_share_of_new_sessions_uses_the_release_on_trial) {
     rollout_fixture rollout;
     rollout.advance(seconds(1));
-    EXPECT_EQ(rollout.share_of_sessions(seconds(1)), 0.0) << "the hosts have not told one another yet";
+    EXPECT_EQ(rollout.share_of_sessions(seconds(1)), 0.0) << "the hosts have not exchanged their sessions yet";
     rollout.advance(seconds(3));
     const double share = rollout.share_of_sessions(seconds(3));
     EXPECT_GT(share, 0.03);
-    EXPECT_LT(share, 0.09) << "the rest of the bound is for the move";
+    EXPECT_LT(share, 0.09) << "the rest of the bound is for the time after the cutover";
     std::string trial_session = "session0";
     for (int i = 1; rollout.choice_of(trial_session, seconds(3)).required != "v2"; ++i) {
         trial_session = "session" + std::to_string(i);
     }
     EXPECT_LT(rollout.choice_of(trial_session, seconds(3)).endpoint_share, 1.0)
-        << "few endpoints, so that each is loaded as it will be";
+        << "few endpoints, so that each carries the load that it will have after the cutover";
     EXPECT_EQ(rollout.tracker.choose("pool", {trial_session, "r", true}, rollout.start + seconds(3)).excluded, "v2")
-        << "a request that has failed once depends on a release that is known";
+        << "a retry does not use the release on trial";
 }
 
 TEST(release_rollout, a_good_release_is_complete_at_the_end_of_its_time) {
@@ -206,13 +205,13 @@
     rollout.advance(milliseconds(22'000));
     EXPECT_EQ(rollout.share_of_sessions(seconds(22)), 1.0);
     EXPECT_NE(rollout.advance(milliseconds(23'400)), rollout_state::completed)
-        << "the old release is what a brake would fall back to";
+        << "a brake must still be able to fall back to the old release";
     EXPECT_EQ(rollout.advance(milliseconds(23'550)), rollout_state::completed);
 }
 
-// An operator orders a roll-out while the store, about to drop its history, tells its watches nothing. It is
-// heard of a second later; counted from then on, it is reported after its time limit and counts as missed.
-TEST(release_rollout, an_order_that_stood_unheard_is_reported_in_time) {
+// A store that is about to drop its history sends its watches nothing, so hosts see an order a second late. If
+// its age counted from then, completion would be reported after the time limit.
+TEST(release_rollout, an_order_that_is_seen_late_is_reported_in_time) {
     const duration max_order_age = milliseconds(1100);
     rollout_fixture rollout(max_order_age);
     rollout.record("v1", 1000, 0);
@@ -222,9 +221,9 @@
     EXPECT_EQ(rollout.advance(milliseconds(23'550) - max_order_age), rollout_state::completed);
 }
 
-// A release fails only under everybody's load. It gave 50 bad answers in the second after the move and was
-// reported complete on counts from before: from the move to the report, each answer is news.
-TEST(release_rollout, what_hosts_see_is_urgent_from_the_move_to_the_report) {
+// A release fails only under full load: it gives 50 bad answers in the second after the cutover and is reported
+// complete on older counts. From the cutover to the report, hosts must send changed counts at once.
+TEST(release_rollout, awaits_completion_from_the_cutover_to_a_brake) {
     rollout_fixture rollout;
     rollout.record("v1", 1000, 0);
     rollout.advance(seconds(1));
@@ -238,10 +237,10 @@
     EXPECT_FALSE(rollout.tracker.awaits_completion()) << "it is braked";
 }
 
-// A release fails only under everybody's load: a tenth of its answers in the second before its time ends,
-// spread over routes. Each route alone proves nothing, it is reported complete, the old endpoints stop, and
-// half of all requests fail from then on.
-TEST(release_rollout, a_release_that_worsens_with_the_move_is_not_reported_complete) {
+// A release fails only under full load: a tenth of its answers in the second before the time limit, spread over
+// routes. No single route has enough evidence, so it would be reported complete, the old endpoints would stop,
+// and half of all requests would fail from then on.
+TEST(release_rollout, a_release_that_worsens_after_the_cutover_is_not_reported_complete) {
     rollout_fixture rollout;
     const auto record_on = [&](const std::string& route, int good, int bad) {
         const release_route key{"pool", "v2", route};
@@ -257,7 +256,7 @@
     rollout.advance(seconds(13));
     rollout.advance(milliseconds(22'000));
     EXPECT_EQ(rollout.share_of_sessions(seconds(22)), 1.0);
-    // In batches as they are heard; each with more good answers than outweigh the bad one.
+    // Counts arrive in batches, each with enough good answers to offset the bad one.
     for (int batch = 0; batch < 4; ++batch) {
         for (const char* route : {"drafts", "chats", "checks"}) {
             record_on(route, 8, 1);
@@ -268,12 +267,11 @@
     for (const char* route : {"drafts", "chats", "checks"}) {
         record_on(route, 200, 0);
     }
-    EXPECT_EQ(rollout.advance(milliseconds(25'000)), rollout_state::completed) << "late, as it was sound";
+    EXPECT_EQ(rollout.advance(milliseconds(25'000)), rollout_state::completed) << "a good release is reported complete, although late";
 }
 
-// A host without a roll-out for a week remembers every session that it has ever served, until it is out of
-// memory.
-TEST(release_rollout, sessions_are_forgotten_without_a_rollout) {
+// A host without a roll-out keeps every session that it has served and runs out of memory.
+TEST(release_rollout, sessions_expire_without_a_rollout) {
     rollout_tracker tracker;
     time_point now{seconds(100)};
     for (int i = 0; i < 5000; ++i) {
@@ -284,16 +282,16 @@
         (void)tracker.take_session_updates(now);
     }
     EXPECT_GT(tracker.remembered_sessions(), 0U);
-    EXPECT_LT(tracker.remembered_sessions(), 300U) << "a fifth of those of six seconds";
+    EXPECT_LT(tracker.remembered_sessions(), 300U) << "a fifth of the sessions of six seconds";
 }
 
-// A burst begins shortly before everything would move. By the mean of the roll-out so far the move fits the
-// bound; at the rate of the burst it does not.
-TEST(release_rollout, a_burst_delays_the_move) {
-    rollout_fixture calm;
+// A burst begins shortly before the cutover. At the mean rate of the roll-out the cutover stays within the
+// exposure bound; at the rate of the burst it does not.
+TEST(release_rollout, a_burst_delays_the_cutover) {
+    rollout_fixture steady;
     rollout_fixture burst;
     for (int ms = 0; ms <= 21'750; ms += 250) {
-        for (rollout_fixture* each : {&calm, &burst}) {
+        for (rollout_fixture* each : {&steady, &burst}) {
             const bool is_burst = each == &burst && ms >= 19'500;
             each->record("v1", is_burst ? 30 : 10, 0);
             if (ms == 1000) {
@@ -302,14 +300,13 @@
             each->advance(milliseconds(ms));
         }
     }
-    EXPECT_EQ(calm.share_of_sessions(milliseconds(21'750)), 1.0);
+    EXPECT_EQ(steady.share_of_sessions(milliseconds(21'750)), 1.0);
     EXPECT_LT(burst.share_of_sessions(milliseconds(21'750)), 0.1);
 }
 
-// A release fails half of its requests once everybody is there. It was reported complete three quarters of a
-// second after the move, with a dozen failures seen by eight hosts; the old endpoints stopped, and nothing
-// could be braked.
-TEST(release_rollout, a_release_under_suspicion_is_not_reported_complete) {
+// A release fails half of its requests under full load. Reported complete 0.75 s after the cutover, with a dozen
+// failures on eight hosts, it could not be braked any more, because the old endpoints had stopped.
+TEST(release_rollout, a_suspicious_release_is_not_reported_complete) {
     rollout_fixture rollout;
     rollout.record("v1", 1000, 0);
     rollout.advance(seconds(1));
@@ -322,10 +319,9 @@
     EXPECT_EQ(rollout.advance(milliseconds(23'500)), rollout_state::rolled_back);
 }
 
-// Half of all requests meet a release that fails only under load. It looked good in all its trial, so
-// everything moved to it at half of the time, and its faults showed when nothing else was left; or they never
-// showed and it had the requests all the same. Load pattern: 50 requests a second that double in the last
-// third of the time.
+// A release that fails only under load looks good during its trial and gets half of all requests if the cutover
+// comes at half of the time, whether its faults show then or never. Load pattern: 50 requests a second, also
+// with the rate doubled in the last third of the time.
 TEST(release_rollout, the_exposure_bound_holds_without_any_evidence) {
     for (const bool has_burst : {false, true}) {
         rollout_fixture rollout;
@@ -363,8 +359,8 @@
     EXPECT_EQ(rollout.choice_of("").excluded, "v2");
 }
 
-// Every endpoint of a new release crashes at its first request: no answer speaks against it, and none for it.
-TEST(release_rollout, a_release_that_has_answered_nothing_gets_no_more_than_a_part) {
+// Every endpoint of a new release crashes at its first request, so there are neither bad answers nor good ones.
+TEST(release_rollout, a_release_without_answers_does_not_get_all_requests) {
     rollout_fixture rollout;
     rollout.record("v1", 200, 0);
     rollout.advance(seconds(13));
@@ -372,9 +368,9 @@
     EXPECT_LT(rollout.share_of_sessions(), 0.4);
 }
 
-// A release answers well for ten seconds and then fails every third request. What it did well must not be
-// counted for it.
-TEST(release_rollout, a_release_that_turns_bad_late_is_braked_as_soon) {
+// A release answers well for ten seconds and then fails every third request. Its earlier good answers must not
+// delay the brake.
+TEST(release_rollout, a_release_that_turns_bad_late_is_braked_as_quickly) {
     rollout_fixture rollout;
     rollout.record("v1", 500, 50);
     rollout.record("v2", 400, 0);
@@ -383,7 +379,7 @@
     EXPECT_EQ(rollout.advance(seconds(14)), rollout_state::rolled_back);
 }
 
-TEST(release_rollout, evidence_of_other_hosts_brakes_here) {
+TEST(release_rollout, counts_of_other_hosts_brake_a_release) {
     rollout_fixture rollout;
     rollout.record("v1", 100, 50);
     rollout.advance(seconds(1));
@@ -392,16 +388,16 @@
     EXPECT_EQ(rollout.advance(seconds(2)), rollout_state::rolled_back);
 }
 
-TEST(release_rollout, a_release_as_flawed_as_the_old_one_is_not_braked) {
+TEST(release_rollout, a_release_no_worse_than_the_old_one_is_not_braked) {
     rollout_fixture rollout;
     rollout.record("v1", 700, 7);
     rollout.record("v2", 300, 7);
     EXPECT_EQ(rollout.advance(seconds(3)), rollout_state::running);
 }
 
-// The small model answers in 40 ms and the large one in 500. A host that had just started took the small
-// model's time for usual and braked a good release, because a quarter of its answers came from the large one.
-TEST(release_rollout, a_larger_model_is_no_sign_of_a_slow_release) {
+// A small model answers in 40 ms and a large one in 500 ms. A host that compares both with the small model's
+// time brakes a good release because a quarter of its answers come from the large one.
+TEST(release_rollout, answers_of_a_larger_model_do_not_count_as_slow) {
     rollout_fixture rollout;
     for (int i = 0; i < 60; ++i) {
         rollout.record_answer("v1", true, {milliseconds(40), 35});
@@ -420,8 +416,8 @@
     EXPECT_EQ(rollout.advance(seconds(3)), rollout_state::rolled_back);
 }
 
-// Streams of a release that is eight times as slow take 15 s to end. Judged at their end, nothing spoke
-// against it until everybody was there.
+// Streams of a release that is eight times as slow take 15 s to end. Counted at their end, they are no evidence
+// before the cutover.
 TEST(release_rollout, a_slow_release_is_braked_before_its_answers_end) {
     rollout_fixture rollout;
     rollout.record("v1", 60, 0);
@@ -431,10 +427,9 @@
     EXPECT_EQ(rollout.advance(seconds(3)), rollout_state::rolled_back);
 }
 
-// Every advisory chat is refused for the rest of a calm day, with a hundred idle engines. One host had braked
-// the release by a few slow answers in the same second in which another reported it completed. The old
-// endpoints had stopped with that report, and hosts that heard of the brake wanted nothing else.
-TEST(release_rollout, what_the_store_says_is_over_goes_before_a_brake) {
+// One host brakes a release in the same second in which another reports it complete. The old endpoints stop at
+// that report, so a host that follows the brake refuses every request although the new endpoints are idle.
+TEST(release_rollout, completion_in_the_store_takes_precedence_over_a_brake) {
     rollout_fixture rollout;
     rollout.tracker.merge("h2/1", {}, {{"pool", "v2", 16'000, true}}, rollout.start + seconds(1));
     ASSERT_EQ(rollout.choice_of("s").excluded, "v2");
@@ -445,21 +440,21 @@
     EXPECT_EQ(rollout.choice_of("s").required, "v2");
 }
 
-// A host that starts in the middle of a roll-out would count its time from there and hold the others up.
-TEST(release_rollout, a_new_host_takes_over_the_age_of_the_others) {
+// A host that starts in the middle of a roll-out must not count its age from then: it would cut over late.
+TEST(release_rollout, a_new_host_adopts_the_age_and_the_cutover_of_the_others) {
     rollout_fixture rollout;
     rollout.tracker.merge("h2/1", {{"pool", "v2", "drafts", 40, 0}}, {{"pool", "v2", 16'000, false}},
                           rollout.start + seconds(1));
     rollout.advance(seconds(1));
-    EXPECT_LT(rollout.share_of_sessions(seconds(1)), 0.1) << "it has not heard what the others have sent";
+    EXPECT_LT(rollout.share_of_sessions(seconds(1)), 0.1) << "it does not have the counts of the other hosts yet";
     rollout.tracker.merge("h2/1", {}, {{"pool", "v2", 17'000, false, 0, true}}, rollout.start + seconds(2));
     EXPECT_EQ(rollout.share_of_sessions(seconds(2)), 1.0);
 }
 
-// 295 hosts, each of which hears of three others every 0.4 s. One that has heard of a third of them takes the
-// counts that come in late for a burst, and never moves; another takes an exposure for small that is not.
-// Only a host that hears everybody decides, and the others follow it.
-TEST(release_rollout, a_host_that_does_not_hear_all_others_leaves_the_move_to_those_that_do) {
+// Each of 295 hosts hears from three others every 0.4 s. A host that has the counts of a third of them takes those
+// that arrive late for a burst and never cuts over, or underestimates the exposure. Only a host with the counts of
+// all hosts decides, and the others follow it.
+TEST(release_rollout, only_a_host_with_all_counts_starts_the_cutover) {
     rollout_fixture rollout;
     rollout.record("v1", 2000, 0);
     rollout.record("v2", 40, 0);
@@ -472,9 +467,9 @@
     EXPECT_EQ(rollout.share_of_sessions(milliseconds(23'400)), 1.0);
 }
 
-// Half of the streams of a release take 20 s in place of one, and the other half are sound. It is braked when
-// the first of them are far beyond what the old release takes, not when they end.
-TEST(release_rollout, a_release_whose_streams_crawl_is_braked_while_they_do) {
+// Half of the streams of a release take 20 s instead of 1 s. It must be braked once they have run far longer than
+// those of the old release, not when they end.
+TEST(release_rollout, overdue_streams_brake_a_release_before_they_end) {
     rollout_fixture rollout;
     for (int i = 0; i < 40; ++i) {
         rollout.tracker.on_started({"pool", "v1", "drafts"}, "", rollout.start);
@@ -491,16 +486,15 @@
     EXPECT_EQ(rollout.advance(milliseconds(10'100)), rollout_state::rolled_back);
 }
 
-TEST(release_rollout, without_endpoints_of_the_new_release_the_old_one_serves) {
+TEST(release_rollout, the_old_release_serves_while_the_new_one_has_no_endpoints) {
     rollout_fixture rollout;
     rollout.tracker.set_endpoint_counts("pool", {{"v1", 10}});
     rollout.advance(seconds(20));
     EXPECT_EQ(rollout.choice_of("s").required, "");
 }
 
-// A release begins its answers in time and then crawls: half of its streams take 17 s in place of one.
-// Nothing speaks against it while it is on trial, it is reported complete, and its streams crawl for
-// everybody.
+// A release begins its answers in time, but half of its streams take 17 s instead of 1 s. There is no evidence
+// against it during its trial, so it is reported complete and its streams are slow for all callers.
 TEST(known_red, a_release_whose_streams_crawl_is_not_reported_complete) {
     rollout_fixture rollout;
     rollout.record("v1", 1000, 0);
@@ -516,7 +510,7 @@
     }
     rollout.advance(seconds(22));
     EXPECT_NE(rollout.advance(milliseconds(23'550)), rollout_state::completed)
-        << "half of its streams have been under way for 20 s";
+        << "half of its streams have been in flight for 20 s";
 }
 
 } // namespace
--- a/test/routing_test.cpp
+++ b/test/routing_test.cpp
@@ -39,12 +39,12 @@
 
 } // namespace
 
-TEST(session_token, pins_survive_the_way_over_the_caller) {
+TEST(session_token, a_token_carries_the_pins_back_unchanged) {
     const session_pins pins{"osijek", "s1", {{"nacrt", "1"}}, 7};
     EXPECT_EQ(read_session(encode_session(pins, key), "osijek", key, "fresh"), pins);
 }
 
-// A caller copies another team's token, or alters one, to reach a version it may not use.
+// A caller presents another team's token, or an altered one, to reach a version that it may not use.
 TEST(session_token, an_altered_or_foreign_token_pins_nothing) {
     const std::string token = encode_session({"osijek", "s1", {{"nacrt", "9"}}, 7}, key);
     EXPECT_TRUE(read_session(token, "vukovar", key, "fresh").version_by_model.empty());
@@ -56,14 +56,14 @@
     EXPECT_EQ(read_session("my own id", "osijek", key, "fresh").session, "my own id");
 }
 
-TEST(session_token, a_withdrawn_pin_moves_to_an_allowed_version) {
+TEST(session_token, a_pin_that_is_not_allowed_is_replaced_by_an_allowed_version) {
     EXPECT_EQ(resolve_ladder(*sample_view(), {"osijek", "s", {{"nacrt", "7"}}, 1}).front(), "nacrt@1");
     const std::vector<version_name> left =
         resolve_ladder(*sample_view({{"nacrt@1", {}}}), {"osijek", "s", {}, 1});
     EXPECT_EQ(left, std::vector<version_name>{"savjet@1"});
 }
 
-TEST(tier_choice, weighs_the_step_up) {
+TEST(tier_choice, includes_the_expected_cost_of_a_step_up) {
     const std::vector<tier_option> options{{1, 0.8, 0.8, 100}, {20, 0.98, 0.98, 300}};
     EXPECT_EQ(choose_start(options, {0.95, 10000, true}), 0U);
     EXPECT_EQ(choose_start(options, {0.95, 10000, false}), 1U) << "a stream cannot step up";
@@ -85,7 +85,7 @@
     RC_ASSERT(options[start].chance >= target - 0.011);
 }
 
-TEST(quality_estimator, learns_and_forgets) {
+TEST(quality_estimator, follows_recent_ratings) {
     quality_estimator estimator;
     const quality_estimator::subject subject{"t", "k", "m@1", false};
     EXPECT_DOUBLE_EQ(estimator.chance(subject, 0.8), 0.8);
@@ -116,8 +116,8 @@
     EXPECT_NEAR(more, 20, 1);
 }
 
-// One team floods the queue. The others' requests must not wait behind the flood.
-TEST(fair_queue, a_flood_does_not_hold_up_another_team) {
+// One team fills the queue. Another team's request must not wait behind that backlog.
+TEST(fair_queue, the_backlog_of_one_team_does_not_delay_another) {
     fair_queue queue;
     for (int i = 0; i < 1000; ++i) {
         queue.push("flood", "f" + std::to_string(i), begin);
@@ -145,9 +145,9 @@
     RC_ASSERT(std::abs(taken_a - taken * weight_a / (weight_a + 1)) <= 6);
 }
 
-// An endpoint is told to stop. It says "leaving" with a refusal before the platform's list does, and the
-// list still says "live" for a while: it must not be chosen again.
-TEST(endpoint_table, a_leaving_endpoint_gets_nothing_although_the_list_lags) {
+// An endpoint that shuts down says "leaving" with a refusal, while the platform's list still shows it as
+// "live". It must not be chosen again.
+TEST(endpoint_table, a_leaving_endpoint_gets_no_requests_while_the_list_lags) {
     endpoint_table table = make_table();
     table.update(three_endpoints(), begin);
     table.mark_leaving("a", begin);
@@ -187,7 +187,7 @@
     }
 }
 
-TEST(endpoint_table, a_version_that_is_not_loaded_is_looked_for_elsewhere) {
+TEST(endpoint_table, an_endpoint_without_the_version_is_not_chosen) {
     endpoint_table table = make_table();
     table.update(three_endpoints(), begin);
     table.on_load_report("a", {0, 0, {"m@2"}}, begin);
@@ -200,9 +200,9 @@
     EXPECT_FALSE(table.could_serve("pool", "m@1", begin));
 }
 
-// An engine fails three times, crashes and starts again under its name, sound. It must not rest for what the
-// process before it did.
-TEST(endpoint_table, a_restarted_endpoint_is_not_held_to_the_failures_before) {
+// An endpoint fails three times, crashes and restarts under the same name. The new process must not stay ejected
+// for the failures of the old one.
+TEST(endpoint_table, a_restart_clears_the_ejection) {
     endpoint_table table = make_table();
     endpoint_record endpoint{"a", "", "d", "pool", "live", "v1", 1000};
     table.update({endpoint}, begin);
@@ -213,14 +213,14 @@
     ASSERT_EQ(choose(table, begin), "");
     endpoint.started_at_ms = 500;
     table.update({endpoint}, begin);
-    ASSERT_EQ(choose(table, begin), "") << "an earlier start is old news";
+    ASSERT_EQ(choose(table, begin), "") << "an earlier start time is no restart";
     endpoint.started_at_ms = 9000;
     table.update({endpoint}, begin);
     EXPECT_EQ(choose(table, begin), "a");
 }
 
-// A release on trial goes to a few endpoints, which carry their full load. Chosen anew by each host, they
-// would be all of them.
+// Requests for a release on trial go to few endpoints, so that these carry their usual load. If each host chose
+// its own, all endpoints would be used.
 TEST(endpoint_table, a_share_of_the_endpoints_is_the_same_on_every_host) {
     endpoint_table one = make_table();
     endpoint_table other{load_chart_or_exit(LAUREL_SOURCE_DIR "/charts", "endpoint"), 77};
@@ -237,11 +237,11 @@
     ASSERT_EQ(chosen.size(), 1U);
     EXPECT_EQ(chosen, other.eligible(criteria, begin));
     criteria.avoided = {chosen.front().name};
-    ASSERT_EQ(one.eligible(criteria, begin).size(), 1U) << "one that fails is replaced by another";
+    ASSERT_EQ(one.eligible(criteria, begin).size(), 1U) << "an endpoint that has failed is replaced by another";
 }
 
-// A release of 96 endpoints is on trial, and 295 hosts of six domains send to the same endpoint without
-// knowing of one another's requests. It is slow for that alone, and the sound release is braked.
+// A release of 96 endpoints is on trial, and 295 hosts of six domains send their trial requests to the same
+// endpoint without knowing each other's load. It is slow only for that reason, and a good release is braked.
 TEST(endpoint_table, a_trial_on_a_large_fleet_has_an_endpoint_in_each_domain) {
     const auto kept = [](int endpoints, int domains) {
         endpoint_table table = make_table();
@@ -262,7 +262,7 @@
     };
     const std::multiset<std::string> large = kept(96, 6);
     EXPECT_EQ(large, (std::multiset<std::string>{"d0", "d1", "d2", "d3", "d4", "d5"}));
-    EXPECT_EQ(kept(9, 4).size(), 1U) << "on a small one an endpoint on trial carries its usual load";
+    EXPECT_EQ(kept(9, 4).size(), 1U) << "on a small fleet one endpoint suffices, so that it carries its usual load";
 }
 
 } // namespace laurelhoist
