--- a/src/rollout/brake.cpp
+++ b/src/rollout/brake.cpp
@@ -21,18 +21,21 @@
 
 } // namespace
 
-brake_hypotheses hypotheses_for(double stated_quality, const version_counts& established, const rollout_plan& plan) {
+brake_hypotheses hypotheses_for(double stated_quality, const version_counts& established,
+                                const rollout_plan& plan) {
     const double baseline = std::max(1.0 - stated_quality, observed_bad_share(established));
     const double good = std::min(max_acceptable_bad_share, baseline + plan.tolerated_drop);
-    const double bad = std::min(max_unacceptable_bad_share, std::max(baseline + plan.braked_drop, good + 0.02));
+    const double bad =
+        std::min(max_unacceptable_bad_share, std::max(baseline + plan.braked_drop, good + 0.02));
     return {good, bad};
 }
 
 brake_verdict evaluate(const version_counts& counts, const brake_hypotheses& hypotheses) {
     const auto bad = static_cast<double>(counts.below + counts.failed);
     const auto good = static_cast<double>(counts.rated - counts.below);
-    const double evidence = bad * std::log(hypotheses.unacceptable_bad_share / hypotheses.acceptable_bad_share) +
-                            good * std::log((1 - hypotheses.unacceptable_bad_share) / (1 - hypotheses.acceptable_bad_share));
+    const double evidence =
+        bad * std::log(hypotheses.unacceptable_bad_share / hypotheses.acceptable_bad_share) +
+        good * std::log((1 - hypotheses.unacceptable_bad_share) / (1 - hypotheses.acceptable_bad_share));
     if (evidence >= std::log(1.0 / false_brake_chance)) {
         return brake_verdict::braked;
     }
--- a/src/rollout/evidence.h
+++ b/src/rollout/evidence.h
@@ -14,9 +14,9 @@
 struct version_counts {
     std::int64_t answers = 0; ///< whole answers received
     std::int64_t rated = 0;
-    std::int64_t below = 0;    ///< answers rated below the team's score
-    std::int64_t failed = 0;   ///< errors attributed to the version
-    std::int64_t released = 0; ///< answers sent to callers
+    std::int64_t below = 0;          ///< answers rated below the team's score
+    std::int64_t failed = 0;         ///< errors attributed to the version
+    std::int64_t released = 0;       ///< answers sent to callers
     std::int64_t released_below = 0; ///< answers sent to callers although rated below the score
 };
 LAUREL_VALUE_TYPE(version_counts, answers, rated, below, failed, released, released_below)
--- a/src/rollout/release_rollout.cpp
+++ b/src/rollout/release_rollout.cpp
@@ -36,15 +36,15 @@
 constexpr double suspicious_evidence = 2.5;
 /// Fewer bad answers since the cutover are not significant: faults of single endpoints cause as many.
 constexpr double min_bad_answers = 5;
-constexpr double default_good_share = 0.98; ///< assumed of the old release until enough answers are counted, and never exceeded
-constexpr double tolerated_drop = 0.04; ///< a good release has at most this much more bad answers than the old one
-constexpr double braked_drop = 0.25;    ///< a bad release has at least this much more bad answers
+/// Share of good answers of the old release until enough are counted; the test assumes at most this share.
+constexpr double default_good_share = 0.98;
+constexpr double tolerated_drop = 0.04; ///< a good release exceeds the old one's bad share by at most this
+constexpr double braked_drop = 0.25;    ///< a bad release exceeds the old one's bad share by at least this
 constexpr std::int64_t min_samples_for_mean = 20;
 constexpr double slow_factor = 4.0; ///< of the mean time to the first byte: a slower answer is bad
 /// Time to the first byte beyond reading the prompt: network, one engine step and the usual queueing.
 constexpr double fixed_overhead_ms = 50.0;
-constexpr double min_slow_excess_ms =
-    150.0; ///< excess over the expected time below which an answer is never slow
+constexpr double min_slow_excess_ms = 150.0; ///< a slow answer exceeds the expected time by at least this
 constexpr double smoothing = 0.05;
 /// An attempt that takes this many times the mean duration is overdue. The longest prompts and answers take
 /// three times the mean.
@@ -86,10 +86,11 @@
     return "unknown";
 }
 
-// A new order's age includes max_order_age, so that completion is reported within the time limit. A store that is
-// about to drop its history sends its watches nothing; an order written at that time, counted from when the host
-// saw it, was completed 0.5 s late.
-void rollout_tracker::set_orders(const std::vector<rollout_order>& orders, time_point now, duration max_order_age) {
+// A new order's age includes max_order_age, so that completion is reported within the time limit. A store
+// that is about to drop its history sends its watches nothing; an order written at that time, counted from
+// when the host saw it, was completed 0.5 s late.
+void rollout_tracker::set_orders(const std::vector<rollout_order>& orders, time_point now,
+                                 duration max_order_age) {
     std::set<std::string> services;
     for (const rollout_order& order : orders) {
         services.insert(order.service);
@@ -141,7 +142,8 @@
     return count == found->second.end() ? 0 : count->second;
 }
 
-int rollout_tracker::endpoints_of_other_releases(const std::string& service, const std::string& release) const {
+int rollout_tracker::endpoints_of_other_releases(const std::string& service,
+                                                 const std::string& release) const {
     const auto found = endpoints_.find(service);
     int count = 0;
     if (found != endpoints_.end()) {
@@ -155,7 +157,8 @@
 // The load of one endpoint: it shows how the release behaves under the usual load and exposes few requests.
 double rollout_tracker::new_trial_share(const rollout_order& order) const {
     const int old_endpoints = std::max(1, endpoints_of_other_releases(order.service, order.release));
-    return std::min({1.0 / old_endpoints, trial_exposure_fraction * settings_.exposure_share, max_trial_share});
+    return std::min(
+        {1.0 / old_endpoints, trial_exposure_fraction * settings_.exposure_share, max_trial_share});
 }
 
 bool rollout_tracker::is_in_trial_group(const std::string& service, const std::string& session) const {
@@ -240,7 +243,8 @@
 }
 
 bool rollout_tracker::is_open() const {
-    return std::any_of(rollouts_.begin(), rollouts_.end(), [](const auto& item) { return is_open(item.second); });
+    return std::any_of(rollouts_.begin(), rollouts_.end(),
+                       [](const auto& item) { return is_open(item.second); });
 }
 
 std::vector<session_use> rollout_tracker::take_session_updates(time_point now) {
@@ -281,7 +285,8 @@
 }
 
 // Counts an attempt of the new release as bad as soon as it is overdue. A stream may begin in time and then
-// proceed very slowly; it ends when its caller gives up or its deadline passes, which may be after the cutover.
+// proceed very slowly; it ends when its caller gives up or its deadline passes, which may be after the
+// cutover.
 void rollout_tracker::count_overdue(const rollout_record& rollout, time_point now) {
     for (auto& [key, starts] : under_way_) {
         if (key.service != rollout.order.service || key.release != rollout.order.release) {
@@ -295,8 +300,8 @@
     }
 }
 
-// Slow answers are counted when they begin rather than when they end: streams of a release that was eight times
-// as slow ended 15 s after the request, after the cutover.
+// Slow answers are counted when they begin rather than when they end: streams of a release that was eight
+// times as slow ended 15 s after the request, after the cutover.
 bool rollout_tracker::on_first_byte_received(const release_route& key, const response_timing& timing) {
     if (!is_slow(key, timing)) {
         return false;
@@ -345,8 +350,8 @@
         if (found == rollouts_.end() || found->second.order.release != item.release) {
             continue;
         }
-        // The largest age wins: a host that has just started adopts the age and the trial share of the others,
-        // so that all hosts choose the same sessions.
+        // The largest age wins: a host that has just started adopts the age and the trial share of the
+        // others, so that all hosts choose the same sessions.
         const time_point since = now - milliseconds(item.age_ms);
         if (since < found->second.since) {
             found->second.since = since;
@@ -420,8 +425,10 @@
         const auto new_bad = static_cast<double>(std::max<std::int64_t>(0, new_totals.bad - included.bad));
         const auto new_good = static_cast<double>(std::max<std::int64_t>(0, new_totals.good - included.good));
         included = new_totals;
-        const double change = new_bad * std::log(hypotheses.unacceptable_bad_share / hypotheses.acceptable_bad_share) +
-                              new_good * std::log((1 - hypotheses.unacceptable_bad_share) / (1 - hypotheses.acceptable_bad_share));
+        const double change =
+            new_bad * std::log(hypotheses.unacceptable_bad_share / hypotheses.acceptable_bad_share) +
+            new_good *
+                std::log((1 - hypotheses.unacceptable_bad_share) / (1 - hypotheses.acceptable_bad_share));
         double& evidence = rollout.evidence[route];
         evidence = std::max(0.0, evidence + change);
         if (evidence >= rollback_evidence && !rollout.is_braked) {
@@ -437,9 +444,9 @@
     }
 }
 
-// The exposure bound covers everything that all hosts send during the whole roll-out, whatever the evidence: a
-// release that fails only under load, or only after some time, may look good until it has all the traffic. So
-// the cutover comes so late that the release stays within its share even if it keeps all traffic until the
+// The exposure bound covers everything that all hosts send during the whole roll-out, whatever the evidence:
+// a release that fails only under load, or only after some time, may look good until it has all the traffic.
+// So the cutover comes so late that the release stays within its share even if it keeps all traffic until the
 // time limit.
 bool rollout_tracker::fits_exposure_bound(const rollout_record& rollout, time_point now) const {
     const sent_totals sent = sent_in(rollout);
@@ -448,8 +455,8 @@
     const double age_ms = std::max(1.0, to_ms(now - rollout.since));
     const double left_ms = std::max(0.0, to_ms(rollout.order.time_limit) - age_ms);
     const double expected = total / age_ms * left_ms;
-    // A burst that has just begun hardly raises the mean rate: with the mean alone, a release got 341 of 1,539
-    // requests where 261 were allowed.
+    // A burst that has just begun hardly raises the mean rate: with the mean alone, a release got 341 of
+    // 1,539 requests where 261 were allowed.
     const double expected_after_cutover = rate_margin * std::max(expected, rollout.recent_per_ms * left_ms);
     return sent_to_new + expected_after_cutover <= settings_.exposure_share * (total + expected);
 }
@@ -516,9 +523,9 @@
 }
 
 // Guards the report of completion against a release that fails only under full load, which it gets a second
-// before the time limit. A tenth of the answers failed by then, spread over routes and mixed with good answers
-// from before: too few for the sequential test of any route. If the release is sound after all, its report is
-// late.
+// before the time limit. A tenth of the answers failed by then, spread over routes and mixed with good
+// answers from before: too few for the sequential test of any route. If the release is sound after all, its
+// report is late.
 bool rollout_tracker::has_worsened(const rollout_record& rollout) const {
     const totals new_totals = total_of(rollout, "", true);
     const auto bad = static_cast<double>(new_totals.bad - rollout.totals_at_cutover.bad);
--- a/src/rollout/release_rollout.h
+++ b/src/rollout/release_rollout.h
@@ -52,7 +52,7 @@
     }
 };
 
-/** Outcomes of one \ref release_route that a host has counted since the host started; good and bad only grow. */
+/** Outcomes of one \ref release_route that a host has counted since it started; good and bad only grow. */
 struct release_counts {
     std::string service;
     std::string release;
@@ -85,10 +85,10 @@
 
 /** Settings for all roll-outs of a host. */
 struct rollout_settings {
-    double exposure_share = 0.15;       ///< share of a roll-out's requests that a bad release may get
-    bool suspects = true; ///< bad answers of a release can hold back its cutover and its completion; \see
-                          ///< mechanisms::suspects_releases
-    duration session_life = seconds(5); ///< requests that follow one another within this belong to one session
+    double exposure_share = 0.15; ///< share of a roll-out's requests that a bad release may get
+    /// Bad answers hold back the cutover and its completion. \see mechanisms::suspects_releases
+    bool suspects = true;
+    duration session_life = seconds(5); ///< requests at most this far apart belong to one session
 };
 
 /** The properties of a request on which the choice of its release depends. */
@@ -119,12 +119,12 @@
         : settings_{settings}, sessions_{settings.session_life} {}
 
     /** Sets whether this host receives the counts of all hosts, and has done so for long enough that all have
-     * arrived. Only such a host knows the total exposure, and only it may start the cutover. Default: true. */
+     * arrived. Only such a host knows the total exposure, and only it may start the cutover. */
     void set_has_all_counts(bool has_all_counts) { has_all_counts_ = has_all_counts; }
     /** \return whether any roll-out is ordered or running. */
     bool is_open() const;
-    /** \return whether a roll-out has cut over, is not braked and is not reported complete yet. The outcomes of
-     * this phase decide whether it may be. */
+    /** \return whether a roll-out has cut over, is not braked and is not reported complete yet. The outcomes
+     * of this phase decide whether it may be. */
     bool awaits_completion() const;
     /** Replaces the orders by those in the store.
      * \param max_order_age how long an order that is new to this host may already have been in the store */
@@ -142,8 +142,8 @@
      * \param is_whole the attempt was answered completely, so that its duration counts towards the mean */
     void on_finished(const release_route& key, const std::string& session, time_point now,
                      std::optional<time_point> started_at = {}, bool is_whole = false);
-    /** Records that an answer has begun. \return whether it began so late that it was counted as a bad answer;
-     * its outcome must then not be recorded as well. */
+    /** Records that an answer has begun. \return whether it began so late that it was counted as a bad
+     * answer; its outcome must then not be recorded as well. */
     bool on_first_byte_received(const release_route& key, const response_timing& timing);
     /** Counts a good or a bad answer. */
     void on_outcome(const release_route& key, bool is_good);
@@ -172,19 +172,19 @@
     };
     struct rollout_record {
         rollout_order order;
-        time_point since;                   ///< when the order was first seen by a host, or may have been written
-        time_point seen_at;                 ///< when this host first saw the order
+        time_point since;   ///< when the order was first seen by a host, or may have been written
+        time_point seen_at; ///< when this host first saw the order
         std::optional<time_point> cut_over_at; ///< time of the cutover
-        totals totals_at_cutover;                     ///< answers of the new release before the cutover
-        double trial_share = 0;             ///< share of the requests that use the release on trial
-        bool is_on_trial = false;           ///< set once the hosts have exchanged their recent sessions
-        std::int64_t sent_before = 0;       ///< requests of the service at \ref counted_at
+        totals totals_at_cutover;              ///< answers of the new release before the cutover
+        double trial_share = 0;                ///< share of the requests that use the release on trial
+        bool is_on_trial = false;              ///< set once the hosts have exchanged their recent sessions
+        std::int64_t sent_before = 0;          ///< requests of the service at \ref counted_at
         time_point counted_at;
         double recent_per_ms = 0; ///< request rate of the service over the last rate window
         bool has_moved = false;   ///< this host has cut over: all requests go to the new release
         bool is_braked = false;
-        std::map<std::string, totals> included;   ///< by route: the answers that the evidence already includes
-        std::map<std::string, double> evidence; ///< by route: log likelihood ratio of "bad" to "good", at least 0
+        std::map<std::string, totals> included; ///< by route: the answers that the evidence already includes
+        std::map<std::string, double> evidence; ///< by route: log likelihood ratio of bad to good, at least 0
     };
     /// Exponentially smoothed mean of durations, or of their ratios to the predicted durations.
     struct running_mean {
@@ -202,7 +202,8 @@
     std::int64_t good_answers_of(const std::string& service, const std::string& release) const;
     double new_trial_share(const rollout_order& order) const;
     bool is_in_trial_group(const std::string& service, const std::string& session) const;
-    bool is_for_new_release(const rollout_record& rollout, const routed_request& request, time_point now) const;
+    bool is_for_new_release(const rollout_record& rollout, const routed_request& request,
+                            time_point now) const;
     bool fits_exposure_bound(const rollout_record& rollout, time_point now) const;
     /// Attempts that all hosts have sent since the order.
     struct sent_totals {
@@ -214,7 +215,7 @@
     void update_evidence(rollout_record& rollout);
     bool is_suspicious(const rollout_record& rollout) const;
     void cut_over(rollout_record& rollout, time_point now) const;
-    /** \return whether the new release has failed clearly more often since the cutover than the old one has. */
+    /** \return whether the new release has failed clearly more often since the cutover than the old one. */
     bool has_worsened(const rollout_record& rollout) const;
     void advance_phase(rollout_record& rollout, time_point now) const;
     void count_overdue(const rollout_record& rollout, time_point now);
@@ -232,11 +233,11 @@
     std::map<std::string, std::map<std::string, int>> endpoints_;
     bool is_slow(const release_route& key, const response_timing& timing);
 
-    std::map<release_route, std::multiset<time_point>> under_way_; ///< start times of this host's attempts in flight
-    std::map<release_route, running_mean>
-        mean_durations_; ///< durations of whole answers of old releases in ms, by service and route
-    std::map<release_route, running_mean>
-        mean_first_byte_; ///< times to the first byte on old releases, in ms or as a ratio to the prediction, by service and route
+    std::map<release_route, std::multiset<time_point>> under_way_; ///< start times of attempts in flight
+    /// Durations of whole answers of old releases in ms, by service and route.
+    std::map<release_route, running_mean> mean_durations_;
+    /// Times to the first byte on old releases, in ms or as a ratio to the prediction, by service and route.
+    std::map<release_route, running_mean> mean_first_byte_;
 };
 
 } // namespace laurelhoist
--- a/src/rollout/session_memory.cpp
+++ b/src/rollout/session_memory.cpp
@@ -8,7 +8,8 @@
 
 /// Added to a session's lifetime for the delay of messages between hosts and for clock drift.
 constexpr duration expiry_margin = milliseconds(1000);
-constexpr std::size_t max_updates_per_message = 40; ///< keeps a message within one datagram, at some 30 bytes per session
+/// Keeps a message within one datagram, at some 30 bytes per session.
+constexpr std::size_t max_updates_per_message = 40;
 
 } // namespace
 
@@ -39,7 +40,8 @@
 
 bool session_memory::is_recent(const std::string& service, std::uint64_t session, time_point now) const {
     const auto found = uses_.find({service, session});
-    return found != uses_.end() && (found->second.under_way > 0 || now - found->second.at < lifetime_ + expiry_margin);
+    return found != uses_.end() &&
+           (found->second.under_way > 0 || now - found->second.at < lifetime_ + expiry_margin);
 }
 
 std::vector<session_use> session_memory::take_updates(time_point now) {
--- a/src/routing/endpoint_table.cpp
+++ b/src/routing/endpoint_table.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr int failures_to_eject = 3; ///< consecutive failures that eject an endpoint
+constexpr int failures_to_eject = 3;            ///< consecutive failures that eject an endpoint
 constexpr duration first_ejection = seconds(2); ///< doubled with each further failure
 constexpr duration max_ejection = seconds(30);
 constexpr duration missing_version_ttl = seconds(2);
@@ -17,9 +17,10 @@
 constexpr std::size_t candidates_compared = 3;
 constexpr double smoothing = 0.2;
 constexpr double limit_step = 0.5;
-constexpr double limit_decrease_factor = 0.8; ///< applied to the concurrency limit at a failure
+constexpr double limit_decrease_factor = 0.8;  ///< applied to the concurrency limit at a failure
 constexpr double prefix_hit_cost_factor = 0.7; ///< applied to the expected time if the prefix is cached
-constexpr duration reinstatement_lookahead = milliseconds(500); ///< an ejection that ends within this is disregarded
+/// An endpoint whose ejection ends within this counts as able to serve.
+constexpr duration reinstatement_lookahead = milliseconds(500);
 constexpr duration leaving_override_time = seconds(60); ///< a "leaving" mark outweighs the list for this long
 
 } // namespace
@@ -42,8 +43,8 @@
         endpoint_state& endpoint = endpoints_[record.name];
         const bool is_restarted = !is_new && is_restart_of(record, endpoint.record);
         if (is_restarted) {
-            // Drops the state of the earlier process: its failures would keep a healthy endpoint ejected for up
-            // to 30 s after a restart.
+            // Drops the state of the earlier process: its failures would keep a healthy endpoint ejected for
+            // up to 30 s after a restart.
             const int in_flight = endpoint.in_flight;
             endpoint = endpoint_state{};
             endpoint.in_flight = in_flight;
@@ -138,13 +139,15 @@
     return std::any_of(endpoints_.begin(), endpoints_.end(), [&](const auto& item) {
         const endpoint_state& endpoint = item.second;
         const bool is_active = endpoint.state == "live" || endpoint.state == "probing";
-        const bool is_active_soon = endpoint.state == "ejected" && endpoint.ejected_until - now < reinstatement_lookahead;
-        return endpoint.record.pool == pool && (is_active || is_active_soon) && has_version(endpoint, version, now) &&
-               (!may_be_used || may_be_used(endpoint.record));
+        const bool is_active_soon =
+            endpoint.state == "ejected" && endpoint.ejected_until - now < reinstatement_lookahead;
+        return endpoint.record.pool == pool && (is_active || is_active_soon) &&
+               has_version(endpoint, version, now) && (!may_be_used || may_be_used(endpoint.record));
     });
 }
 
-bool endpoint_table::is_eligible(endpoint_state& endpoint, const endpoint_criteria& criteria, time_point now) {
+bool endpoint_table::is_eligible(endpoint_state& endpoint, const endpoint_criteria& criteria,
+                                 time_point now) {
     if (endpoint.record.pool != criteria.pool || criteria.avoided.count(endpoint.record.name) > 0) {
         return false;
     }
@@ -169,13 +172,14 @@
     if (endpoint.report.running >= 0 && now - endpoint.reported_at < report_ttl) {
         others = std::max(0, endpoint.report.running + endpoint.report.queued - endpoint.in_flight_at_report);
     }
-    const double typical =
-        endpoint.average_latency_ms > 0 ? endpoint.average_latency_ms : lowest_average_latency_ms(endpoint.record.pool);
+    const double typical = endpoint.average_latency_ms > 0 ? endpoint.average_latency_ms
+                                                           : lowest_average_latency_ms(endpoint.record.pool);
     return std::max(1.0, typical) * (1.0 + endpoint.in_flight + others);
 }
 
-endpoint_table::endpoint_state* endpoint_table::choose_by_expected_latency(const std::vector<endpoint_state*>& eligible,
-                                                            const endpoint_criteria& criteria, time_point now) {
+endpoint_table::endpoint_state*
+endpoint_table::choose_by_expected_latency(const std::vector<endpoint_state*>& eligible,
+                                           const endpoint_criteria& criteria, time_point now) {
     std::vector<endpoint_state*> compared;
     for (endpoint_state* endpoint : eligible) {
         if (has_prefix(*endpoint, criteria.prefix, now)) {
@@ -214,13 +218,13 @@
     return placed.size();
 }
 
-// Keeps a share of the endpoints, chosen by rendezvous hash, so that hosts whose lists differ for a moment still
-// choose nearly the same ones.
+// Keeps a share of the endpoints, chosen by rendezvous hash, so that hosts whose lists differ for a moment
+// still choose nearly the same ones.
 //
-// On a large fleet the share includes an endpoint of each failure domain, because hosts of one domain know each
-// other's load and those of different domains do not. With a single endpoint, 295 hosts of six domains sent one
-// hundredth of the requests for a release of 96 endpoints to it: seven of 20 answers took four times as long as
-// usual, and a good release was braked.
+// On a large fleet the share includes an endpoint of each failure domain, because hosts of one domain know
+// each other's load and those of different domains do not. With a single endpoint, 295 hosts of six domains
+// sent one hundredth of the requests for a release of 96 endpoints to it: seven of 20 answers took four times
+// as long as usual, and a good release was braked.
 void keep_endpoint_share(std::vector<endpoint_record>& records, const endpoint_criteria& criteria) {
     if (criteria.endpoint_share >= 1.0 || records.empty()) {
         return;
@@ -280,7 +284,8 @@
     return records;
 }
 
-void endpoint_table::on_call_started(const std::string& name, const endpoint_criteria& criteria, time_point now) {
+void endpoint_table::on_call_started(const std::string& name, const endpoint_criteria& criteria,
+                                     time_point now) {
     const auto found = endpoints_.find(name);
     if (found == endpoints_.end()) {
         return;
@@ -337,8 +342,9 @@
     } else if (result == call_result::answered) {
         endpoint.failures = 0;
         const double ms = to_ms(took);
-        endpoint.average_latency_ms =
-            endpoint.average_latency_ms == 0 ? ms : endpoint.average_latency_ms * (1 - smoothing) + ms * smoothing;
+        endpoint.average_latency_ms = endpoint.average_latency_ms == 0
+                                          ? ms
+                                          : endpoint.average_latency_ms * (1 - smoothing) + ms * smoothing;
         adapt_limit(endpoint);
         apply_event(endpoint, "answered");
     } else if (result == call_result::failed || result == call_result::refused_not_run) {
--- a/src/routing/endpoint_table.h
+++ b/src/routing/endpoint_table.h
@@ -38,7 +38,8 @@
     std::set<std::string> avoided;  ///< names of endpoints that have already failed this request
     std::string release{};          ///< software release that the endpoint must run; empty: any
     std::string excluded_release{}; ///< software release that the endpoint must not run; empty: none
-    double endpoint_share = 1.0;    ///< share of the matching endpoints to use: the same ones on every host, at least one
+    /// Share of the matching endpoints to use: the same ones on every host, at least one.
+    double endpoint_share = 1.0;
 };
 
 /** Tells whether an endpoint that accepts work may be used, by rules beyond the endpoint's own state. */
@@ -51,7 +52,8 @@
 class endpoint_table {
 public:
     /** \param lifecycle the state machine of an endpoint, charts/endpoint.scxml */
-    endpoint_table(chart lifecycle, std::uint64_t seed, endpoint_policy policy = endpoint_policy::least_expected_latency);
+    endpoint_table(chart lifecycle, std::uint64_t seed,
+                   endpoint_policy policy = endpoint_policy::least_expected_latency);
 
     /** Replaces the list of endpoints. One that is missing is dropped as soon as its calls have ended. */
     void update(const std::vector<endpoint_record>& endpoints, time_point now);
@@ -91,7 +93,9 @@
 private:
     /** Bounds of the concurrency limit: the requests that this entry has in flight at one endpoint. */
     struct limit_range {
-        double fair = 2; ///< this entry's even share of the slots; a queue does not lower the limit further, or slots would idle
+        /// This entry's even share of the slots. A queue does not lower the limit further, or slots would
+        /// idle.
+        double fair = 2;
         double initial = 4;
         double largest = 8;
     };
@@ -120,8 +124,8 @@
     bool has_version(const endpoint_state& endpoint, const version_name& version, time_point now) const;
     bool has_prefix(const endpoint_state& endpoint, const std::string& prefix, time_point now) const;
     double expected_latency_ms(const endpoint_state& endpoint, time_point now) const;
-    endpoint_state* choose_by_expected_latency(const std::vector<endpoint_state*>& eligible, const endpoint_criteria& criteria,
-                                time_point now);
+    endpoint_state* choose_by_expected_latency(const std::vector<endpoint_state*>& eligible,
+                                               const endpoint_criteria& criteria, time_point now);
     void eject(endpoint_state& endpoint, time_point now);
     void adapt_limit(endpoint_state& endpoint);
     limit_range limits_of(const std::string& pool) const;
--- a/src/routing/quality_estimator.cpp
+++ b/src/routing/quality_estimator.cpp
@@ -4,14 +4,15 @@
 
 namespace {
 
-constexpr double signed_prior_weight = 8;  ///< weight of the signed-off quality, in ratings
-constexpr double version_prior_weight = 15; ///< weight of the version's estimate as the prior of a team and kind, in ratings
-constexpr double rating_decay = 0.995;   ///< of older ratings at each new one: a window of some 200 ratings
+constexpr double signed_prior_weight = 8; ///< weight of the signed-off quality, in ratings
+/// Weight of the version's estimate as the prior of a team and kind, in ratings.
+constexpr double version_prior_weight = 15;
+constexpr double rating_decay = 0.995; ///< of older ratings at each new one: a window of some 200 ratings
 constexpr std::size_t max_subjects = 20000; ///< when exceeded, only the estimates by version are kept
 constexpr double credit_decay = 0.998;     ///< of older answers at each new one: a window of some 500 answers
 constexpr double credit_min_answers = 100; ///< decayed count of answers that lowering the target requires
-constexpr double credit_margin = 0.01;    ///< the team's share must exceed its target by this
-constexpr double credit_max_shortfall = 0.15;     ///< how far the target is lowered for streams
+constexpr double credit_margin = 0.01;     ///< the team's share must exceed its target by this
+constexpr double credit_max_shortfall = 0.15; ///< how far the target is lowered for streams
 
 } // namespace
 
@@ -40,7 +41,8 @@
     beta_counts& counts =
         by_subject_.emplace(about, initial(version_chance(about, prior), version_prior_weight)).first->second;
     update(counts, met);
-    update(by_version_.emplace(version_subject(about), initial(prior, signed_prior_weight)).first->second, met);
+    update(by_version_.emplace(version_subject(about), initial(prior, signed_prior_weight)).first->second,
+           met);
 }
 
 double quality_estimator::chance(const subject& about, double prior) const {
--- a/src/routing/retry_budget.h
+++ b/src/routing/retry_budget.h
@@ -10,7 +10,7 @@
 
 /** How many retries are allowed. */
 struct retry_allowance {
-    double per_first_attempt = 0.2; ///< tokens that each first attempt adds: the retry ratio under steady load
+    double per_first_attempt = 0.2; ///< tokens per first attempt: the retry ratio under steady load
     double burst = 20.0;            ///< capacity of the bucket: retries in a burst
 };
 
--- a/src/routing/tier_choice.cpp
+++ b/src/routing/tier_choice.cpp
@@ -30,7 +30,8 @@
 // Chances are estimates, so one that misses the target by less than this still meets it.
 constexpr double target_slack = 0.01;
 
-bool is_better(const ladder_estimate& candidate, const ladder_estimate& best, const tier_requirements& requirements) {
+bool is_better(const ladder_estimate& candidate, const ladder_estimate& best,
+               const tier_requirements& requirements) {
     const double target = requirements.target_share - target_slack;
     const bool candidate_meets = candidate.chance >= target;
     const bool best_meets = best.chance >= target;
--- a/src/routing/tier_choice.h
+++ b/src/routing/tier_choice.h
@@ -11,8 +11,8 @@
 
 /** Estimates for one step of the ladder, for one request. */
 struct tier_option {
-    double cost = 0;                 ///< cost of one answer
-    double chance = 0;               ///< probability that an answer meets the score if the request starts here
+    double cost = 0;   ///< cost of one answer
+    double chance = 0; ///< probability that an answer meets the score if the request starts here
     double chance_after_step_up = 0; ///< probability that it does after a cheaper step has failed the request
     double latency_ms = 0;           ///< time of one answer
 };
--- a/test/rollout_test.cpp
+++ b/test/rollout_test.cpp
@@ -16,8 +16,8 @@
 
 } // namespace
 
-// Reports of entries reach the stewards late, duplicated and in different orders. All stewards must compute the
-// same sums, or one would brake a roll-out that another continues.
+// Reports of entries reach the stewards late, duplicated and in different orders. All stewards must compute
+// the same sums, or one would brake a roll-out that another continues.
 RC_GTEST_PROP(evidence_pool, order_and_doubling_change_nothing, (const std::vector<std::uint8_t>& values)) {
     evidence_pool one;
     evidence_pool other;
@@ -53,7 +53,8 @@
     constexpr int rollouts = 4000;
     for (int i = 0; i < rollouts; ++i) {
         version_counts counts;
-        for (int answer = 0; answer < 400 && evaluate(counts, hypotheses) == brake_verdict::undecided; ++answer) {
+        for (int answer = 0; answer < 400 && evaluate(counts, hypotheses) == brake_verdict::undecided;
+             ++answer) {
             ++counts.rated;
             counts.below += random.chance(0.1) ? 1 : 0;
         }
@@ -180,7 +181,8 @@
 TEST(release_rollout, a_share_of_new_sessions_uses_the_release_on_trial) {
     rollout_fixture rollout;
     rollout.advance(seconds(1));
-    EXPECT_EQ(rollout.share_of_sessions(seconds(1)), 0.0) << "the hosts have not exchanged their sessions yet";
+    EXPECT_EQ(rollout.share_of_sessions(seconds(1)), 0.0)
+        << "the hosts have not exchanged their sessions yet";
     rollout.advance(seconds(3));
     const double share = rollout.share_of_sessions(seconds(3));
     EXPECT_GT(share, 0.03);
@@ -191,7 +193,8 @@
     }
     EXPECT_LT(rollout.choice_of(trial_session, seconds(3)).endpoint_share, 1.0)
         << "few endpoints, so that each carries the load that it will have after the cutover";
-    EXPECT_EQ(rollout.tracker.choose("pool", {trial_session, "r", true}, rollout.start + seconds(3)).excluded, "v2")
+    EXPECT_EQ(rollout.tracker.choose("pool", {trial_session, "r", true}, rollout.start + seconds(3)).excluded,
+              "v2")
         << "a retry does not use the release on trial";
 }
 
@@ -209,8 +212,8 @@
     EXPECT_EQ(rollout.advance(milliseconds(23'550)), rollout_state::completed);
 }
 
-// A store that is about to drop its history sends its watches nothing, so hosts see an order a second late. If
-// its age counted from then, completion would be reported after the time limit.
+// A store that is about to drop its history sends its watches nothing, so hosts see an order a second late.
+// If its age counted from then, completion would be reported after the time limit.
 TEST(release_rollout, an_order_that_is_seen_late_is_reported_in_time) {
     const duration max_order_age = milliseconds(1100);
     rollout_fixture rollout(max_order_age);
@@ -221,8 +224,8 @@
     EXPECT_EQ(rollout.advance(milliseconds(23'550) - max_order_age), rollout_state::completed);
 }
 
-// A release fails only under full load: it gives 50 bad answers in the second after the cutover and is reported
-// complete on older counts. From the cutover to the report, hosts must send changed counts at once.
+// A release fails only under full load: it gives 50 bad answers in the second after the cutover and is
+// reported complete on older counts. From the cutover to the report, hosts must send changed counts at once.
 TEST(release_rollout, awaits_completion_from_the_cutover_to_a_brake) {
     rollout_fixture rollout;
     rollout.record("v1", 1000, 0);
@@ -237,9 +240,9 @@
     EXPECT_FALSE(rollout.tracker.awaits_completion()) << "it is braked";
 }
 
-// A release fails only under full load: a tenth of its answers in the second before the time limit, spread over
-// routes. No single route has enough evidence, so it would be reported complete, the old endpoints would stop,
-// and half of all requests would fail from then on.
+// A release fails only under full load: a tenth of its answers in the second before the time limit, spread
+// over routes. No single route has enough evidence, so it would be reported complete, the old endpoints would
+// stop, and half of all requests would fail from then on.
 TEST(release_rollout, a_release_that_worsens_after_the_cutover_is_not_reported_complete) {
     rollout_fixture rollout;
     const auto record_on = [&](const std::string& route, int good, int bad) {
@@ -267,7 +270,8 @@
     for (const char* route : {"drafts", "chats", "checks"}) {
         record_on(route, 200, 0);
     }
-    EXPECT_EQ(rollout.advance(milliseconds(25'000)), rollout_state::completed) << "a good release is reported complete, although late";
+    EXPECT_EQ(rollout.advance(milliseconds(25'000)), rollout_state::completed)
+        << "a good release is reported complete, although late";
 }
 
 // A host without a roll-out keeps every session that it has served and runs out of memory.
@@ -304,8 +308,8 @@
     EXPECT_LT(burst.share_of_sessions(milliseconds(21'750)), 0.1);
 }
 
-// A release fails half of its requests under full load. Reported complete 0.75 s after the cutover, with a dozen
-// failures on eight hosts, it could not be braked any more, because the old endpoints had stopped.
+// A release fails half of its requests under full load. Reported complete 0.75 s after the cutover, with a
+// dozen failures on eight hosts, it could not be braked any more, because the old endpoints had stopped.
 TEST(release_rollout, a_suspicious_release_is_not_reported_complete) {
     rollout_fixture rollout;
     rollout.record("v1", 1000, 0);
@@ -319,9 +323,9 @@
     EXPECT_EQ(rollout.advance(milliseconds(23'500)), rollout_state::rolled_back);
 }
 
-// A release that fails only under load looks good during its trial and gets half of all requests if the cutover
-// comes at half of the time, whether its faults show then or never. Load pattern: 50 requests a second, also
-// with the rate doubled in the last third of the time.
+// A release that fails only under load looks good during its trial and gets half of all requests if the
+// cutover comes at half of the time, whether its faults show then or never. Load pattern: 50 requests a
+// second, also with the rate doubled in the last third of the time.
 TEST(release_rollout, the_exposure_bound_holds_without_any_evidence) {
     for (const bool has_burst : {false, true}) {
         rollout_fixture rollout;
@@ -359,7 +363,8 @@
     EXPECT_EQ(rollout.choice_of("").excluded, "v2");
 }
 
-// Every endpoint of a new release crashes at its first request, so there are neither bad answers nor good ones.
+// Every endpoint of a new release crashes at its first request, so there are neither bad answers nor good
+// ones.
 TEST(release_rollout, a_release_without_answers_does_not_get_all_requests) {
     rollout_fixture rollout;
     rollout.record("v1", 200, 0);
@@ -368,8 +373,8 @@
     EXPECT_LT(rollout.share_of_sessions(), 0.4);
 }
 
-// A release answers well for ten seconds and then fails every third request. Its earlier good answers must not
-// delay the brake.
+// A release answers well for ten seconds and then fails every third request. Its earlier good answers must
+// not delay the brake.
 TEST(release_rollout, a_release_that_turns_bad_late_is_braked_as_quickly) {
     rollout_fixture rollout;
     rollout.record("v1", 500, 50);
@@ -416,8 +421,8 @@
     EXPECT_EQ(rollout.advance(seconds(3)), rollout_state::rolled_back);
 }
 
-// Streams of a release that is eight times as slow take 15 s to end. Counted at their end, they are no evidence
-// before the cutover.
+// Streams of a release that is eight times as slow take 15 s to end. Counted at their end, they are no
+// evidence before the cutover.
 TEST(release_rollout, a_slow_release_is_braked_before_its_answers_end) {
     rollout_fixture rollout;
     rollout.record("v1", 60, 0);
@@ -427,8 +432,8 @@
     EXPECT_EQ(rollout.advance(seconds(3)), rollout_state::rolled_back);
 }
 
-// One host brakes a release in the same second in which another reports it complete. The old endpoints stop at
-// that report, so a host that follows the brake refuses every request although the new endpoints are idle.
+// One host brakes a release in the same second in which another reports it complete. The old endpoints stop
+// at that report, so a host that follows the brake refuses every request although the new endpoints are idle.
 TEST(release_rollout, completion_in_the_store_takes_precedence_over_a_brake) {
     rollout_fixture rollout;
     rollout.tracker.merge("h2/1", {}, {{"pool", "v2", 16'000, true}}, rollout.start + seconds(1));
@@ -446,14 +451,15 @@
     rollout.tracker.merge("h2/1", {{"pool", "v2", "drafts", 40, 0}}, {{"pool", "v2", 16'000, false}},
                           rollout.start + seconds(1));
     rollout.advance(seconds(1));
-    EXPECT_LT(rollout.share_of_sessions(seconds(1)), 0.1) << "it does not have the counts of the other hosts yet";
+    EXPECT_LT(rollout.share_of_sessions(seconds(1)), 0.1)
+        << "it does not have the counts of the other hosts yet";
     rollout.tracker.merge("h2/1", {}, {{"pool", "v2", 17'000, false, 0, true}}, rollout.start + seconds(2));
     EXPECT_EQ(rollout.share_of_sessions(seconds(2)), 1.0);
 }
 
-// Each of 295 hosts hears from three others every 0.4 s. A host that has the counts of a third of them takes those
-// that arrive late for a burst and never cuts over, or underestimates the exposure. Only a host with the counts of
-// all hosts decides, and the others follow it.
+// Each of 295 hosts hears from three others every 0.4 s. A host that has the counts of a third of them takes
+// those that arrive late for a burst and never cuts over, or underestimates the exposure. Only a host with
+// the counts of all hosts decides, and the others follow it.
 TEST(release_rollout, only_a_host_with_all_counts_starts_the_cutover) {
     rollout_fixture rollout;
     rollout.record("v1", 2000, 0);
@@ -467,8 +473,8 @@
     EXPECT_EQ(rollout.share_of_sessions(milliseconds(23'400)), 1.0);
 }
 
-// Half of the streams of a release take 20 s instead of 1 s. It must be braked once they have run far longer than
-// those of the old release, not when they end.
+// Half of the streams of a release take 20 s instead of 1 s. It must be braked once they have run far longer
+// than those of the old release, not when they end.
 TEST(release_rollout, overdue_streams_brake_a_release_before_they_end) {
     rollout_fixture rollout;
     for (int i = 0; i < 40; ++i) {
@@ -493,8 +499,8 @@
     EXPECT_EQ(rollout.choice_of("s").required, "");
 }
 
-// A release begins its answers in time, but half of its streams take 17 s instead of 1 s. There is no evidence
-// against it during its trial, so it is reported complete and its streams are slow for all callers.
+// A release begins its answers in time, but half of its streams take 17 s instead of 1 s. There is no
+// evidence against it during its trial, so it is reported complete and its streams are slow for all callers.
 TEST(known_red, a_release_whose_streams_crawl_is_not_reported_complete) {
     rollout_fixture rollout;
     rollout.record("v1", 1000, 0);
--- a/test/routing_test.cpp
+++ b/test/routing_test.cpp
@@ -200,8 +200,8 @@
     EXPECT_FALSE(table.could_serve("pool", "m@1", begin));
 }
 
-// An endpoint fails three times, crashes and restarts under the same name. The new process must not stay ejected
-// for the failures of the old one.
+// An endpoint fails three times, crashes and restarts under the same name. The new process must not stay
+// ejected for the failures of the old one.
 TEST(endpoint_table, a_restart_clears_the_ejection) {
     endpoint_table table = make_table();
     endpoint_record endpoint{"a", "", "d", "pool", "live", "v1", 1000};
@@ -219,8 +219,8 @@
     EXPECT_EQ(choose(table, begin), "a");
 }
 
-// Requests for a release on trial go to few endpoints, so that these carry their usual load. If each host chose
-// its own, all endpoints would be used.
+// Requests for a release on trial go to few endpoints, so that these carry their usual load. If each host
+// chose its own, all endpoints would be used.
 TEST(endpoint_table, a_share_of_the_endpoints_is_the_same_on_every_host) {
     endpoint_table one = make_table();
     endpoint_table other{load_chart_or_exit(LAUREL_SOURCE_DIR "/charts", "endpoint"), 77};
@@ -237,7 +237,8 @@
     ASSERT_EQ(chosen.size(), 1U);
     EXPECT_EQ(chosen, other.eligible(criteria, begin));
     criteria.avoided = {chosen.front().name};
-    ASSERT_EQ(one.eligible(criteria, begin).size(), 1U) << "an endpoint that has failed is replaced by another";
+    ASSERT_EQ(one.eligible(criteria, begin).size(), 1U)
+        << "an endpoint that has failed is replaced by another";
 }
 
 // A release of 96 endpoints is on trial, and 295 hosts of six domains send their trial requests to the same
@@ -262,7 +263,8 @@
     };
     const std::multiset<std::string> large = kept(96, 6);
     EXPECT_EQ(large, (std::multiset<std::string>{"d0", "d1", "d2", "d3", "d4", "d5"}));
-    EXPECT_EQ(kept(9, 4).size(), 1U) << "on a small fleet one endpoint suffices, so that it carries its usual load";
+    EXPECT_EQ(kept(9, 4).size(), 1U)
+        << "on a small fleet one endpoint suffices, so that it carries its usual load";
 }
 
 } // namespace laurelhoist
