--- a/test/rollout_test.cpp
+++ b/test/rollout_test.cpp
@@ -31,6 +31,7 @@
     RC_ASSERT(one.total("m@1") == other.total("m@1"));
 }
 
+// The test decides on too few answers, or does not decide on enough of them.
 TEST(brake, brakes_a_bad_version_and_passes_a_good_one) {
     const brake_hypotheses hypotheses = hypotheses_for(0.9, {}, {});
     EXPECT_EQ(evaluate(counts_of(5, 1), hypotheses), brake_verdict::undecided);
@@ -63,6 +64,7 @@
     EXPECT_LT(false_brakes, rollouts / 1000);
 }
 
+// A roll-out takes its next step too early, or after it was paused or its version was found bad.
 TEST(step_plan, a_step_waits_for_bake_time_capacity_and_evidence) {
     bundle rolling;
     rolling.rollout.steps = {{0.1, 1000}, {1.0, 1000}};
@@ -81,6 +83,7 @@
     EXPECT_EQ(next_step(rolling, status, milliseconds(9000), true, undecided), step_action::wait);
 }
 
+// The first step waits for answers that a version without traffic cannot have, or starts on unloaded engines.
 TEST(step_plan, the_first_step_waits_only_for_loaded_capacity) {
     bundle rolling;
     rolling.rollout.steps = {{0.1, 1000}, {1.0, 1000}};
@@ -89,6 +92,7 @@
     EXPECT_EQ(next_step(rolling, status, duration{}, true, {}), step_action::step);
 }
 
+// The time before or during a pause counts towards the bake time of the resumed roll-out.
 TEST(bake_timer, a_resumed_rollout_restarts_the_bake_time) {
     bake_timer watch;
     fleet_head head;
@@ -198,6 +202,7 @@
         << "a retry does not use the release on trial";
 }
 
+// A good release is reported complete too early, while a brake may still need the old release, or not at all.
 TEST(release_rollout, a_good_release_is_complete_at_the_end_of_its_time) {
     rollout_fixture rollout;
     rollout.record("v1", 1000, 0);
@@ -355,6 +360,7 @@
     }
 }
 
+// A release fails every second request, and goes on getting requests.
 TEST(release_rollout, a_bad_release_is_braked_within_few_answers) {
     rollout_fixture rollout;
     rollout.record("v1", 200, 50);
@@ -384,6 +390,7 @@
     EXPECT_EQ(rollout.advance(seconds(14)), rollout_state::rolled_back);
 }
 
+// Each host sees too few bad answers to brake a release on its own.
 TEST(release_rollout, counts_of_other_hosts_brake_a_release) {
     rollout_fixture rollout;
     rollout.record("v1", 100, 50);
@@ -393,6 +400,7 @@
     EXPECT_EQ(rollout.advance(seconds(2)), rollout_state::rolled_back);
 }
 
+// The service itself fails one request in seven, and a release that is no worse is braked for it.
 TEST(release_rollout, a_release_no_worse_than_the_old_one_is_not_braked) {
     rollout_fixture rollout;
     rollout.record("v1", 700, 7);
@@ -412,6 +420,7 @@
     EXPECT_EQ(rollout.advance(seconds(3)), rollout_state::running);
 }
 
+// Half of the answers of a release begin eight times as late as usual, without any error.
 TEST(release_rollout, a_release_that_takes_eight_times_as_long_is_braked) {
     rollout_fixture rollout;
     for (int i = 0; i < 60; ++i) {
@@ -492,6 +501,7 @@
     EXPECT_EQ(rollout.advance(milliseconds(10'100)), rollout_state::rolled_back);
 }
 
+// No endpoint runs the new release yet, and requests wait for one.
 TEST(release_rollout, the_old_release_serves_while_the_new_one_has_no_endpoints) {
     rollout_fixture rollout;
     rollout.tracker.set_endpoint_counts("pool", {{"v1", 10}});
