--- a/src/host/entry_host.h
+++ b/src/host/entry_host.h
@@ -211,7 +211,7 @@
     time_point reading_since_;
     std::vector<release_counts> last_sent_counts_;  ///< content of the last count update
     std::optional<time_point> hears_all_since_;     ///< since when all hosts send their counts to this one
-    std::vector<rollout_news> last_sent_decisions_; ///< last sent to all hosts, with ages set to 0
+    std::vector<rollout_gossip> last_sent_decisions_; ///< last sent to all hosts, with ages set to 0
     std::optional<time_point>
         store_confirmed_at_; ///< when the store last confirmed the configuration to this host
     std::map<std::string, time_point>
--- a/src/host/entry_host_peers.cpp
+++ b/src/host/entry_host_peers.cpp
@@ -363,7 +363,7 @@
     if (!is_large_fleet(now)) {
         message.counts = rollouts_.own_counts();
     }
-    message.rollouts = rollouts_.own_news(now);
+    message.rollouts = rollouts_.own_gossip(now);
     message.refused = known_refusals(now);
     message.crashes = relay_.state().quarantine.known(max_crashes_per_round, now);
     message.limits = relay_.state().endpoints.allowance().limits().next_to_gossip(max_limits_per_round, now);
@@ -386,7 +386,7 @@
 // Sent to all hosts at once: a caller's next request may arrive at any host, and a host that does not know of
 // its session would move the session to another release.
 void entry_host::send_session_update(time_point now) {
-    const std::vector<session_use> uses = rollouts_.take_session_news(now);
+    const std::vector<session_use> uses = rollouts_.take_session_updates(now);
     if (uses.empty()) {
         return;
     }
--- a/src/host/entry_host_rollouts.cpp
+++ b/src/host/entry_host_rollouts.cpp
@@ -69,7 +69,7 @@
 // bad answers in the second after all requests were moved to it, but the report was based on counts that were
 // 0.8 s old. Called every quarter of a second, this sends changed counts in time.
 void entry_host::send_counts_while_settling(time_point now) {
-    if (!is_large_fleet(now) || !rollouts_.is_settling()) {
+    if (!is_large_fleet(now) || !rollouts_.awaits_completion()) {
         return;
     }
     const std::vector<release_counts> counts = rollouts_.own_counts();
@@ -95,14 +95,14 @@
     } else if (!hears_all_since_) {
         hears_all_since_ = now;
     }
-    rollouts_.set_hears_all(hears_all_since_ && now - *hears_all_since_ > count_collection_time);
+    rollouts_.set_has_all_counts(hears_all_since_ && now - *hears_all_since_ > count_collection_time);
 }
 
 // Sends a brake or a move to all hosts at once. By gossip alone it takes two seconds among 295 hosts, in
 // which a bad release continues to receive requests and a good one is moved late.
 void entry_host::send_new_decisions(time_point now) {
-    std::vector<rollout_news> decisions = rollouts_.own_news(now);
-    for (rollout_news& decision : decisions) {
+    std::vector<rollout_gossip> decisions = rollouts_.own_gossip(now);
+    for (rollout_gossip& decision : decisions) {
         decision.age_ms = 0;
     }
     const bool is_new = decisions != last_sent_decisions_;
@@ -110,7 +110,7 @@
     if (is_new && reads_everything() && is_large_fleet(now)) {
         gossip_message message;
         message.statuses = {gossip_.self()};
-        message.rollouts = rollouts_.own_news(now);
+        message.rollouts = rollouts_.own_gossip(now);
         send_to_others(gossip_.live(now), encode_peer_message(message));
     }
 }
--- a/src/host/peer_messages.h
+++ b/src/host/peer_messages.h
@@ -32,7 +32,7 @@
     std::vector<host_status> statuses; ///< the sender's own status comes first
     std::vector<load_entry> load;
     std::vector<release_counts> counts;
-    std::vector<rollout_news> rollouts;
+    std::vector<rollout_gossip> rollouts;
     std::string beats{};   ///< heartbeats, encoded by \ref encode_heartbeats
     bool is_round = false; ///< sent in a gossip round: \ref beats names all hosts that the sender knows
     std::vector<refused_endpoint> refused{};
--- a/src/node/entry_core.cpp
+++ b/src/node/entry_core.cpp
@@ -230,7 +230,7 @@
     };
     // Check for an endpoint first: a request taken from the queue without one would lose its turn.
     const bool is_service = queue_name.rfind("service:", 0) == 0;
-    endpoint_wish any;
+    endpoint_criteria any;
     any.version = is_service ? "" : queue_name;
     const model_entry* model = is_service ? nullptr : view_->model(queue_name);
     any.pool = is_service ? queue_name.substr(std::string("service:").size())
@@ -253,12 +253,12 @@
     }
     // A request that cannot be answered in time any more would take a slot from one that can.
     const auto typical = std::chrono::duration_cast<duration>(
-        std::chrono::duration<double, std::milli>(endpoints_.typical_ms(request.pool)));
+        std::chrono::duration<double, std::milli>(endpoints_.average_latency_ms(request.pool)));
     if (now_ + typical > request.deadline) {
         fire(*id, "expired");
         return true;
     }
-    endpoint_wish wish = wish_for(request);
+    endpoint_criteria wish = wish_for(request);
     std::optional<endpoint_record> endpoint = endpoints_.choose(wish, now_, allowed_within(duration::zero()));
     if (!endpoint) {
         endpoint = endpoints_.choose(any, now_, allowed_within(duration::zero()));
@@ -268,7 +268,7 @@
     return true;
 }
 
-endpoint_wish entry_core::wish_for(const context& request) const {
+endpoint_criteria entry_core::wish_for(const context& request) const {
     return {request.pool, request.is_service() ? "" : request.version(), request.incoming.prefix,
             request.avoided};
 }
@@ -335,7 +335,7 @@
     if (!request.is_idempotent) {
         return left;
     }
-    const double typical = endpoints_.typical_ms(request.pool);
+    const double typical = endpoints_.average_latency_ms(request.pool);
     const auto expected = std::chrono::duration_cast<duration>(
         std::chrono::duration<double, std::milli>(typical * call_timeout_factor));
     return std::min(left, std::max(min_call_timeout, expected));
@@ -445,7 +445,7 @@
     const std::string id = owner->second;
     context& request = requests_.at(id);
     const std::string endpoint = request.endpoint.name;
-    endpoints_.on_report(endpoint, answer.report, now);
+    endpoints_.on_load_report(endpoint, answer.report, now);
     apply_statement(request, answer.statement);
     call_result result = answer.result;
     const bool is_answer = result == call_result::answered;
--- a/src/node/entry_core.h
+++ b/src/node/entry_core.h
@@ -38,7 +38,7 @@
 /** Policies that laurel_bench varies; the defaults are those of production. */
 struct entry_policies {
     tier_policy tier = tier_policy::ours;
-    endpoint_policy endpoint = endpoint_policy::ours;
+    endpoint_policy endpoint = endpoint_policy::least_expected_latency;
 };
 
 class entry_core {
@@ -196,7 +196,7 @@
     void dispatch_queue(const std::string& queue_name);
     bool try_dispatch_next(const std::string& queue_name);
     void start_call(context& request, const endpoint_record& endpoint);
-    endpoint_wish wish_for(const context& request) const;
+    endpoint_criteria wish_for(const context& request) const;
     void end_call(context& request, call_result result);
     bool is_rater_unavailable() const { return missed_ratings_ >= max_missed_ratings; }
     void record_answer(context& request, const endpoint_answer& answer);
--- a/src/placement/endpoint_directory.h
+++ b/src/placement/endpoint_directory.h
@@ -85,7 +85,7 @@
     const send_allowance& allowance() const { return allowance_; }
 
     /** \return the endpoint to send to, or nothing if no endpoint takes the request now */
-    std::optional<placement> choose(const endpoint_wish& wish, const prompt_shape& prompt,
+    std::optional<placement> choose(const endpoint_criteria& wish, const prompt_shape& prompt,
                                     const target_model& model, time_point now);
     /** \return whether some endpoint of \p service takes requests of this host now or within 0.5 s. */
     bool could_serve(const std::string& service, time_point now) const;
@@ -94,7 +94,7 @@
     std::map<exclusion, int> count_exclusions(const std::string& service, time_point now) const;
     std::size_t size() const { return table_.size(); }
 
-    void on_sent(const placement& chosen, const prompt_shape& prompt, const endpoint_wish& wish,
+    void on_sent(const placement& chosen, const prompt_shape& prompt, const endpoint_criteria& wish,
                  time_point now);
     /** Moves the request from waiting to running once the first byte of its answer has arrived. */
     void on_first_byte(const placement& chosen);
--- a/src/relay/exchange.cpp
+++ b/src/relay/exchange.cpp
@@ -210,20 +210,20 @@
     }
 }
 
-endpoint_wish exchange::make_placement_criteria() const {
+endpoint_criteria exchange::make_placement_criteria() const {
     const release_choice release =
         state_.releases.choose(service_, {terms_.session, terms_.id, !tried_.empty()}, monotonic_now());
-    endpoint_wish criteria;
+    endpoint_criteria criteria;
     criteria.pool = service_;
     criteria.avoided = tried_;
     criteria.release = release.required;
-    criteria.unwanted_release = release.unwanted;
+    criteria.excluded_release = release.excluded;
     criteria.endpoint_share = state_.settings.in_use.tries_few_endpoints ? release.endpoint_share : 1.0;
     return criteria;
 }
 
 exchange::model_placements exchange::placements_from(std::size_t min_size, std::size_t max_count,
-                                                     const endpoint_wish& criteria, time_point now) {
+                                                     const endpoint_criteria& criteria, time_point now) {
     model_placements found;
     const std::size_t sizes = std::max<std::size_t>(1, route_->models.size());
     for (std::size_t size = min_size; size < sizes && size - min_size < max_count; ++size) {
@@ -238,7 +238,7 @@
 }
 
 bool exchange::choose(time_point now) {
-    const endpoint_wish criteria = make_placement_criteria();
+    const endpoint_criteria criteria = make_placement_criteria();
     // A request starts on the smallest model. After an answer that was not good enough it goes to the largest
     // model that is still in time.
     const bool is_step_up = min_model_size_ > 0;
@@ -440,7 +440,7 @@
     follow_up(end);
 }
 
-release_use exchange::release_key() const {
+release_route exchange::release_key() const {
     return {service_, attempt_.chosen.endpoint.release, route_->name};
 }
 
--- a/src/relay/exchange.h
+++ b/src/relay/exchange.h
@@ -40,7 +40,7 @@
     /** The present attempt at an endpoint. */
     struct attempt {
         placement chosen;
-        endpoint_wish criteria;
+        endpoint_criteria criteria;
         std::string model;
         std::size_t model_rank = 0; ///< index in the route's models, smallest first
         time_point sent_at;         ///< when the attempt was placed, before its connection was made
@@ -69,11 +69,11 @@
         std::vector<model_option> options;
         std::vector<placement> placements;
     };
-    endpoint_wish make_placement_criteria() const;
+    endpoint_criteria make_placement_criteria() const;
     static constexpr std::size_t no_size_limit = std::numeric_limits<std::size_t>::max();
     /** \return the placements of at most \p max_count of the route's models, from index \p min_size on. */
     model_placements placements_from(std::size_t min_size, std::size_t max_count,
-                                     const endpoint_wish& criteria, time_point now);
+                                     const endpoint_criteria& criteria, time_point now);
     bool choose(time_point now);
     /** \return the time left of the latency objective for the first event of a larger model. */
     double step_up_budget_ms(time_point now) const;
@@ -130,7 +130,7 @@
     suspected_end make_suspected_end();
     void clear_suspicion();
     retry_context make_retry_context() const;
-    release_use release_key() const;
+    release_route release_key() const;
 
     relay& owner_;
     relay_state& state_;
--- a/src/relay/exchange_answers.cpp
+++ b/src/relay/exchange_answers.cpp
@@ -130,7 +130,7 @@
     // release lengthens the predicted backlog of its endpoints, so that even 1.9 s instead of 0.1 s did not
     // count as slow.
     const double expected_ms = prompt_.is_empty() ? 0 : attempt_.chosen.reading_ms;
-    attempt_.is_counted_slow = state_.releases.on_begun(release_key(), {took, expected_ms});
+    attempt_.is_counted_slow = state_.releases.on_first_byte_received(release_key(), {took, expected_ms});
     state_.endpoints.on_first_byte(attempt_.chosen);
     notify_load_changed();
     if (!attempt_.model.empty()) {
