--- a/src/host/entry_host.cpp
+++ b/src/host/entry_host.cpp
@@ -40,7 +40,7 @@
 }
 
 watch_timing spread_timing(watch_timing timing, const std::string& host) {
-    timing.spread_seed = placement_hash("watch/" + host) | 1;
+    timing.jitter_seed = placement_hash("watch/" + host) | 1;
     return timing;
 }
 
@@ -131,7 +131,7 @@
     for (object_watch* watch : watches()) {
         watch->pause(); // Once listed, until it is known who reads.
         // The newest configuration: it is also the first proof that keys are in force.
-        watch->start(watch == &config_watch_ ? first_listing::newest : first_listing::lagging);
+        watch->start(watch == &config_watch_ ? listing_freshness::newest : listing_freshness::lagging);
     }
     loop_.every(gossip_interval, [this] { gossip_round(); });
     loop_.every(upkeep_interval, [this] {
@@ -199,7 +199,7 @@
     } else {
         for (object_watch* watch : watches()) {
             if (watch != &config_watch_) {
-                watch->ask_again();
+                watch->restart_call();
             }
         }
     }
@@ -208,7 +208,7 @@
 void entry_host::on_history_gone() {
     history_gone_at_ = monotonic_now();
     for (object_watch* watch : watches()) {
-        watch->list_again(); // Has no effect on the one that noticed: it lists already.
+        watch->relist(); // Has no effect on the one that noticed: it lists already.
     }
 }
 
@@ -284,7 +284,7 @@
     }
     if (ordered != evacuated_) {
         log_info("evacuations_in_force",
-                 {{"domains", ordered.domains}, {"revision", evacuation_watch_.changed_at()}});
+                 {{"domains", ordered.domains}, {"revision", evacuation_watch_.last_changed_revision()}});
         evacuated_ = ordered;
         relay_.state().endpoints.allowance().set_evacuated(evacuated_, monotonic_now());
         refresh_endpoints();
--- a/src/host/entry_host.h
+++ b/src/host/entry_host.h
@@ -153,7 +153,7 @@
     /// What was last served of one kind of object.
     struct encoded_copy {
         std::int64_t since = 0;      ///< revision that the asker held
-        std::int64_t changed_at = 0; ///< \ref object_watch::changed_at
+        std::int64_t last_changed_revision = 0; ///< \ref object_watch::last_changed_revision
         std::string bytes;
     };
     const std::string& copy_since(const object_watch& watch, const std::string& kind, std::int64_t since);
--- a/src/host/entry_host_copies.cpp
+++ b/src/host/entry_host_copies.cpp
@@ -44,7 +44,7 @@
         }
     }
     const json body = {
-        {"revision", watch.changed_at()}, {"grace_ms", to_ms(grace)}, {"names", names}, {"objects", objects}};
+        {"revision", watch.last_changed_revision()}, {"grace_ms", to_ms(grace)}, {"names", names}, {"objects", objects}};
     std::string bytes;
     json::to_cbor(body, bytes);
     return bytes;
@@ -82,8 +82,8 @@
     const reading_mode mode = choose_reading(view);
     const bool is_large = is_large_fleet(now);
     config_watch_.set_wait(is_large ? config_wait_of_readers : config_wait);
-    endpoint_watch_.set_gathering(is_large ? gathering_of_readers : endpoint_gathering);
-    rollout_watch_.set_gathering(is_large ? gathering_of_readers : rollout_gathering);
+    endpoint_watch_.set_batch_delay(is_large ? gathering_of_readers : endpoint_gathering);
+    rollout_watch_.set_batch_delay(is_large ? gathering_of_readers : rollout_gathering);
     if (mode == reading_) {
         return;
     }
@@ -96,7 +96,7 @@
     if (mode == reading_mode::copies) {
         roster_.on_reading_ended();
     }
-    config_watch_.set_longest_rest(mode == reading_mode::all ? readers_rest : others_rest);
+    config_watch_.set_max_backoff(mode == reading_mode::all ? readers_rest : others_rest);
     for (object_watch* watch : watches()) {
         const bool is_wanted = watch == &config_watch_ && mode != reading_mode::copies;
         if (mode == reading_mode::all || is_wanted) {
@@ -112,8 +112,8 @@
     if (!is_large_fleet(now)) {
         return;
     }
-    const copy_notice notice{config_watch_.changed_at(), endpoint_watch_.changed_at(),
-                             rollout_watch_.changed_at(), evacuation_watch_.changed_at()};
+    const copy_notice notice{config_watch_.last_changed_revision(), endpoint_watch_.last_changed_revision(),
+                             rollout_watch_.last_changed_revision(), evacuation_watch_.last_changed_revision()};
     // From hand to hand alone, news of 112 endpoints that left at once took 1.3 s to the last host, and
     // requests went to them meanwhile.
     send_to_others(scope == notice_scope::change
@@ -124,7 +124,7 @@
 
 void entry_host::note_config_heard(std::int64_t revision) {
     newest_config_heard_ = std::max(newest_config_heard_, revision);
-    if (config_watch_.changed_at() >= newest_config_heard_) {
+    if (config_watch_.last_changed_revision() >= newest_config_heard_) {
         behind_since_.reset();
     } else if (!behind_since_) {
         behind_since_ = monotonic_now();
@@ -137,7 +137,7 @@
         return; // It hears of changes itself, and at first hand.
     }
     const auto fetch_if_newer = [&](object_watch& watch, std::int64_t revision, const std::string& kind) {
-        if (revision > watch.changed_at()) {
+        if (revision > watch.last_changed_revision()) {
             fetch_copy(from, watch, kind);
         }
     };
@@ -165,9 +165,9 @@
                                           std::int64_t since) {
     const duration grace = roster_.grace_left(monotonic_now());
     encoded_copy& held = encoded_copies_[kind];
-    const bool is_same = held.since == since && held.changed_at == watch.changed_at();
+    const bool is_same = held.since == since && held.last_changed_revision == watch.last_changed_revision();
     if (!is_same || grace > duration::zero() || held.bytes.empty()) {
-        held = {since, watch.changed_at(), encode_copy(watch, since, grace)};
+        held = {since, watch.last_changed_revision(), encode_copy(watch, since, grace)};
     }
     return held.bytes;
 }
@@ -179,7 +179,7 @@
     }
     http_call call;
     call.address = *value_of(address);
-    call.target = "/copy?kind=" + kind + "&since=" + std::to_string(watch.changed_at());
+    call.target = "/copy?kind=" + kind + "&since=" + std::to_string(watch.last_changed_revision());
     call.timeout = copy_limit;
     call.connect_timeout = copy_limit / 2;
     call.is_large = true;
--- a/src/host/entry_host_rollouts.cpp
+++ b/src/host/entry_host_rollouts.cpp
@@ -41,7 +41,7 @@
     }
     const time_point now = monotonic_now();
     const bool was_deaf = history_gone_at_ && now - *history_gone_at_ < relisting_time;
-    rollouts_.set_orders(orders, now, was_deaf ? deaf_time : duration::zero());
+    rollouts_.set_orders(orders, now, was_deaf ? event_loss_window : duration::zero());
     tell_copies(notice_scope::change);
 }
 
--- a/src/programs/laurel_burn.cpp
+++ b/src/programs/laurel_burn.cpp
@@ -36,7 +36,7 @@
         call.target = target;
         call.headers = {{"Authorization", "Bearer " + FLAGS_operator_key}};
         call.timeout = milliseconds(FLAGS_timeout_ms);
-        const http_answer answer = ask_and_wait(call);
+        const http_answer answer = send_and_wait(call);
         if (answer.status == 200) {
             return json::parse(answer.body);
         }
--- a/src/programs/laurel_entry.cpp
+++ b/src/programs/laurel_entry.cpp
@@ -241,7 +241,7 @@
                                             bool is_stream) {
     const caller_handle caller = ++last_caller_;
     callers_[caller] = {responder, is_stream, false};
-    responder->on_gone([this, caller] {
+    responder->on_disconnect([this, caller] {
         callers_.erase(caller);
         core_.on_caller_gone(caller, monotonic_now());
     });
--- a/src/programs/laurelctl.cpp
+++ b/src/programs/laurelctl.cpp
@@ -82,7 +82,7 @@
         call.body = body;
         call.timeout = seconds(15);
         call.needs_fresh_connection = true;
-        return ask_and_wait(call);
+        return send_and_wait(call);
     }
 };
 
--- a/src/standin/engine.cpp
+++ b/src/standin/engine.cpp
@@ -117,7 +117,7 @@
         headers["X-Not-Run"] = "1";
         responder->reply(429, headers, R"({"error":"busy"})");
     } else {
-        responder->on_gone([work] { work->is_cancelled = true; });
+        responder->on_disconnect([work] { work->is_cancelled = true; });
         queue_.push_back(work);
         begin_next();
     }
@@ -188,7 +188,7 @@
 
 void stand_in_engine::send_whole(const shared_job& work) {
     if (!work->is_cancelled && faults_.mode == "cut") {
-        work->responder->cut();
+        work->responder->abort();
     } else if (!work->is_cancelled) {
         const json body = {
             {"id", work->request_id},
@@ -208,7 +208,7 @@
         return;
     }
     if (faults_.mode == "cut" && work->next_part > 0) {
-        work->responder->cut();
+        work->responder->abort();
         end(work);
         return;
     }
--- a/src/standin/object_store.cpp
+++ b/src/standin/object_store.cpp
@@ -84,7 +84,7 @@
     put(key, json::parse(request.body, nullptr, false));
     if (random_.chance(faults_.lose_answers)) {
         ++counts_["answers_lost"];
-        responder->cut();
+        responder->abort();
         return;
     }
     responder->reply(200, version_header(version_), "{}");
--- a/src/standin/plain_service.cpp
+++ b/src/standin/plain_service.cpp
@@ -30,7 +30,7 @@
         return;
     }
     if (faults_.mode == "cut") {
-        responder->cut();
+        responder->abort();
         return;
     }
     loop_.after(work_time, [this, responder, headers, reference, path = request.path] {
--- a/src/store/object_watch.h
+++ b/src/store/object_watch.h
@@ -13,7 +13,7 @@
 using objects_by_name = std::map<std::string, stored_object>;
 
 /** What a watch begins with. */
-enum class first_listing {
+enum class listing_freshness {
     newest,
     lagging, ///< cheap, and may be seconds old; the calls that follow make up for it
 };
@@ -21,16 +21,16 @@
 /** How a kind of object is followed. */
 struct watch_timing {
     duration wait{};      ///< one call waits so long for news; what is held is confirmed at least this often
-    duration gathering{}; ///< after news, before the next call, so that a series costs few calls
+    duration batch_delay{}; ///< after news, before the next call, so that a series costs few calls
     /// Between calls that fail one after another, from the fourth on.
-    duration longest_rest = milliseconds(250);
+    duration max_backoff = milliseconds(250);
     /// Seed by which each call waits up to a quarter more or less: hosts that follow in step know the same
     /// moment, and none could vouch for another when the store goes. 0: no spread.
-    std::uint64_t spread_seed = 0;
+    std::uint64_t jitter_seed = 0;
 };
 
 /// For up to a second before a store drops its history, its watches may miss changes.
-constexpr duration deaf_time = milliseconds(1100);
+constexpr duration event_loss_window = milliseconds(1100);
 
 /** Keeps a copy of the objects of one kind.
  *
@@ -50,71 +50,71 @@
         std::function<void()> on_history_gone;
     };
 
-    object_watch(event_loop& loop, object_store& store, chart life, std::string kind, watch_timing timing,
+    object_watch(event_loop& loop, object_store& store, chart states, std::string kind, watch_timing timing,
                  handlers events);
 
-    void start(first_listing first = first_listing::newest);
+    void start(listing_freshness first = listing_freshness::newest);
     /** Asks again now: a call under way may wait on a connection that was lost without a sign, as another
      * one to the same store was; and one that rests after a failure need not, as the store answers. */
-    void ask_again();
-    void set_longest_rest(duration longest) { longest_rest_ = longest; }
-    void set_gathering(duration gathering) { gathering_ = gathering; }
+    void restart_call();
+    void set_max_backoff(duration longest) { max_backoff_ = longest; }
+    void set_batch_delay(duration batch_delay) { batch_delay_ = batch_delay; }
     void set_wait(duration wait) { wait_ = wait; }
     /** Lists anew now. When the store drops its history, a watch of another kind may go on waiting to its
      * end without hearing what has happened meanwhile. */
-    void list_again();
+    void relist();
     /** Makes no further calls until \ref resume; a call under way is heard to its end. */
     void pause() { is_paused_ = true; }
     void resume();
     /** Takes what another host holds, if it is newer.
-     * \param changed_at the \ref changed_at of that host \return whether it was */
-    bool take_copy(objects_by_name objects, std::int64_t changed_at);
+     * \param last_changed_revision the \ref last_changed_revision of that host \return whether it was */
+    bool take_copy(objects_by_name objects, std::int64_t last_changed_revision);
     /** \return the store's revision when what is held last changed. */
-    std::int64_t changed_at() const { return changed_at_; }
+    std::int64_t last_changed_revision() const { return last_changed_revision_; }
     const objects_by_name& objects() const { return objects_; }
     bool is_listed() const { return is_listed_; }
 
 private:
-    void move(const char* event);
+    void transition(const char* event);
     void list_from(const std::string& after);
     void on_page(const store_result<object_page>& result);
     void follow();
     void follow_after_events();
     void on_events(const store_result<object_events>& result, time_point sent_at);
-    duration proven_wait(const object_events& heard, duration took) const;
+    duration confirmed_wait(const object_events& heard, duration took) const;
     void on_failure(store_failure failure);
-    void rest();
-    void end_rest();
-    void note_reachable(bool is_reachable);
-    bool take(const object_event& event);
+    void back_off();
+    void end_backoff();
+    void set_reachable(bool is_reachable);
+    bool apply(const object_event& event);
 
     event_loop& loop_;
     object_store& store_;
-    chart life_;
+    chart chart_;
     std::string state_;
     std::string kind_;
     duration next_wait();
 
     duration wait_;
-    duration waiting_{}; ///< of the call under way
-    std::optional<random_source> spread_;
-    duration gathering_;
-    duration longest_rest_;
+    duration current_wait_{}; ///< of the call under way
+    std::optional<random_source> jitter_;
+    duration batch_delay_;
+    duration max_backoff_;
     handlers events_;
     objects_by_name objects_;
-    objects_by_name listed_; ///< pages of a listing under way
+    objects_by_name listed_objects_; ///< pages of a listing under way
     std::int64_t listing_revision_ = 0;
     std::int64_t revision_ = 0;
-    std::int64_t changed_at_ = 0;
-    time_point listing_since_;
-    first_listing listing_ = first_listing::newest; ///< the one under way
+    std::int64_t last_changed_revision_ = 0;
+    time_point listing_started_at_;
+    listing_freshness listing_freshness_ = listing_freshness::newest; ///< the one under way
     int failures_ = 0;
-    std::uint64_t call_ = 0; ///< the one whose answer counts
+    std::uint64_t current_call_ = 0; ///< the one whose answer counts
     bool is_listed_ = false;
     bool is_reachable_ = true;
     bool is_paused_ = false;
-    bool is_resting_ = false;  ///< paused, with no call under way
-    bool is_to_hurry_ = false; ///< the next call does not wait for news
+    bool is_idle_ = false;  ///< paused, with no call under way
+    bool skips_next_wait_ = false; ///< the next call does not wait for news
 };
 
 } // namespace laurelhoist
--- a/src/transport/datagram.cpp
+++ b/src/transport/datagram.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr std::size_t largest_datagram = 64 << 10;
+constexpr std::size_t max_datagram_bytes = 64 << 10;
 
 } // namespace
 
@@ -37,7 +37,7 @@
 
     udp::socket socket;
     handler on_received;
-    std::array<char, largest_datagram> incoming{};
+    std::array<char, max_datagram_bytes> incoming{};
     udp::endpoint sender;
     std::uint64_t sent = 0;
 };
--- a/src/transport/http_client.cpp
+++ b/src/transport/http_client.cpp
@@ -18,9 +18,9 @@
 
 namespace {
 
-constexpr duration kept_connection_time = seconds(2);
-constexpr std::size_t kept_connections_per_address = 64;
-constexpr std::size_t largest_answer = 8 << 20;
+constexpr duration idle_connection_lifetime = seconds(2);
+constexpr std::size_t max_idle_connections_per_address = 64;
+constexpr std::size_t max_response_bytes = 8 << 20;
 
 } // namespace
 
@@ -32,18 +32,18 @@
 struct http_client::state {
     explicit state(asio::io_context& loop_context) : context{loop_context} {}
 
-    struct kept_connection {
+    struct idle_connection {
         std::unique_ptr<beast::tcp_stream> stream;
         time_point since;
     };
     using address_key = std::pair<std::string, std::uint16_t>;
 
     std::unique_ptr<beast::tcp_stream> take(const address_key& address) {
-        std::deque<kept_connection>& idle = kept[address];
+        std::deque<idle_connection>& idle = idle_connections[address];
         while (!idle.empty()) {
-            kept_connection connection = std::move(idle.back());
+            idle_connection connection = std::move(idle.back());
             idle.pop_back();
-            if (monotonic_now() - connection.since < kept_connection_time) {
+            if (monotonic_now() - connection.since < idle_connection_lifetime) {
                 return std::move(connection.stream);
             }
         }
@@ -51,15 +51,15 @@
     }
 
     void keep(const address_key& address, std::unique_ptr<beast::tcp_stream> stream) {
-        std::deque<kept_connection>& idle = kept[address];
+        std::deque<idle_connection>& idle = idle_connections[address];
         idle.push_back({std::move(stream), monotonic_now()});
-        if (idle.size() > kept_connections_per_address) {
+        if (idle.size() > max_idle_connections_per_address) {
             idle.pop_front();
         }
     }
 
     asio::io_context& context;
-    std::map<address_key, std::deque<kept_connection>> kept;
+    std::map<address_key, std::deque<idle_connection>> idle_connections;
 };
 
 namespace {
@@ -125,7 +125,7 @@
         });
     }
 
-    void arm() {
+    void start_timeout() {
         timer_.expires_after(call_.timeout);
         auto self = this->shared_from_this();
         timer_.async_wait([self](beast::error_code failure) {
@@ -137,18 +137,18 @@
 
     void write() {
         stream_->expires_never();
-        arm();
+        start_timeout();
         auto self = this->shared_from_this();
         http::async_write(*stream_, request_, [self](beast::error_code failure, std::size_t) {
             if (self->is_done_) {
                 return;
             }
             if (failure) {
-                self->on_broken();
+                self->on_connection_failed();
                 return;
             }
             self->parser_.emplace();
-            self->parser_->body_limit(largest_answer);
+            self->parser_->body_limit(max_response_bytes);
             self->parser_->eager(true);
             self->read();
         });
@@ -156,8 +156,8 @@
 
     // A kept connection that breaks before any byte of an answer was most likely closed by the other side
     // while it was idle. Only calls that may be repeated use kept connections, so a new one is tried.
-    void on_broken() {
-        if (is_reused_ && !has_answer_begun_) {
+    void on_connection_failed() {
+        if (is_reused_ && !has_response_begun_) {
             is_reused_ = false;
             timer_.cancel();
             connect();
@@ -190,17 +190,17 @@
         }
         const bool is_broken = (parse_failure && parse_failure != http::error::need_more) || failure;
         if (is_broken && !parser_->is_done()) {
-            on_broken();
+            on_connection_failed();
             return;
         }
-        has_answer_begun_ = true;
+        has_response_begun_ = true;
         deliver_piece();
         if (is_done_) {
             return;
         }
         if (!parser_->is_done()) {
             if (call_.is_streamed || call_.is_large) {
-                arm();
+                start_timeout();
             }
             read();
             return;
@@ -257,7 +257,7 @@
     std::optional<http::response_parser<http::string_body>> parser_;
     std::size_t delivered_ = 0;
     bool is_reused_ = false;
-    bool has_answer_begun_ = false;
+    bool has_response_begun_ = false;
     bool is_done_ = false;
 };
 
@@ -274,7 +274,7 @@
     return [started] { started->cancel(); };
 }
 
-http_answer ask_and_wait(const http_call& call) {
+http_answer send_and_wait(const http_call& call) {
     event_loop loop;
     http_client client(loop);
     http_answer answer;
--- a/src/transport/http_client.h
+++ b/src/transport/http_client.h
@@ -61,6 +61,6 @@
 };
 
 /** Sends \p call and waits for its answer on a loop of its own; for command lines and tests. */
-http_answer ask_and_wait(const http_call& call);
+http_answer send_and_wait(const http_call& call);
 
 } // namespace laurelhoist
--- a/src/transport/http_server.cpp
+++ b/src/transport/http_server.cpp
@@ -173,12 +173,12 @@
         }
     }
 
-    void cut() override {
+    void abort() override {
         beast::error_code ignored;
         stream_.socket().close(ignored);
     }
 
-    void on_gone(std::function<void()> work) override { gone_ = std::move(work); }
+    void on_disconnect(std::function<void()> work) override { on_disconnect_ = std::move(work); }
 
 private:
     void read_request() {
@@ -206,7 +206,7 @@
         } else if (!failure) {
             stream_.expires_never();
             const http_request request = to_request(parser_->get());
-            gone_ = nullptr;
+            on_disconnect_ = nullptr;
             watch_for_close();
             server_->on_request(request, this->shared_from_this());
         }
@@ -229,17 +229,17 @@
             const std::size_t bytes = self->stream_.socket().receive(asio::buffer(&byte, 1),
                                                                      tcp::socket::message_peek, peek_failure);
             if (bytes == 0) {
-                self->tell_gone();
+                self->notify_disconnect();
             }
         });
     }
 
     bool is_complete() const { return is_answered_ && !is_streaming_; }
 
-    void tell_gone() {
-        if (gone_) {
-            const std::function<void()> work = std::move(gone_);
-            gone_ = nullptr;
+    void notify_disconnect() {
+        if (on_disconnect_) {
+            const std::function<void()> work = std::move(on_disconnect_);
+            on_disconnect_ = nullptr;
             work();
         }
     }
@@ -257,7 +257,7 @@
         asio::async_write(stream_, asio::buffer(outgoing_.front()),
                           [self](beast::error_code failure, std::size_t) {
                               if (failure) {
-                                  self->tell_gone();
+                                  self->notify_disconnect();
                                   return;
                               }
                               self->outgoing_.pop_front();
@@ -272,7 +272,7 @@
     }
 
     void on_answer_written(beast::error_code failure) {
-        gone_ = nullptr;
+        on_disconnect_ = nullptr;
         beast::error_code ignored;
         if (failure || !keeps_alive_) {
             stream_.socket().shutdown(tcp::socket::shutdown_send, ignored);
@@ -288,7 +288,7 @@
     beast::flat_buffer buffer_;
     std::optional<http::request_parser<http::string_body>> parser_;
     std::deque<std::string> outgoing_;
-    std::function<void()> gone_;
+    std::function<void()> on_disconnect_;
     bool is_first_ = true;
     bool keeps_alive_ = true;
     bool is_answered_ = false;
--- a/src/transport/http_server.h
+++ b/src/transport/http_server.h
@@ -41,9 +41,9 @@
     /** Ends a chunked answer; without this the caller sees a cut one. */
     virtual void end_stream() = 0;
     /** Closes the connection at once, so that a begun answer cannot be taken for whole. */
-    virtual void cut() = 0;
+    virtual void abort() = 0;
     /** Sets what to do when the caller goes away before the answer is complete. */
-    virtual void on_gone(std::function<void()> work) = 0;
+    virtual void on_disconnect(std::function<void()> work) = 0;
 };
 
 struct http_limits {
--- a/src/transport/link.cpp
+++ b/src/transport/link.cpp
@@ -15,7 +15,7 @@
 using websocketpp::connection_hdl;
 
 constexpr duration ping_interval = seconds(1);
-constexpr std::size_t largest_message = 16 << 20;
+constexpr std::size_t max_message_bytes = 16 << 20;
 
 struct server_config : websocketpp::config::asio {
     static const websocketpp::log::level elog_level = websocketpp::log::elevel::none;
@@ -34,7 +34,7 @@
         : endpoint_{endpoint}, handlers_{std::move(handlers)} {
         endpoint_.clear_access_channels(websocketpp::log::alevel::all);
         endpoint_.clear_error_channels(websocketpp::log::elevel::all);
-        endpoint_.set_max_message_size(largest_message);
+        endpoint_.set_max_message_size(max_message_bytes);
         // Small messages answer one another here. With the delay that TCP puts on them by default, a bill's
         // acknowledgement, and with it the answer to the caller, comes some 40 ms late now and then.
         endpoint_.set_tcp_post_init_handler([this](connection_hdl handle) {
@@ -88,7 +88,7 @@
         }
     }
 
-    void probe() {
+    void ping_all() {
         const time_point now = monotonic_now();
         std::vector<link_id> silent;
         for (const auto& [id, connection] : connections_) {
@@ -96,7 +96,7 @@
             if (connection.is_open) {
                 endpoint_.ping(connection.handle, "", ignored);
             }
-            if (now - connection.last_heard > link_silence_limit) {
+            if (now - connection.last_heard > link_idle_timeout) {
                 silent.push_back(id);
             }
         }
@@ -172,7 +172,7 @@
                            "); give an address of this host that is free");
     }
     state_->server.start_accept(failure);
-    loop.every(ping_interval, [this] { state_->links.probe(); });
+    loop.every(ping_interval, [this] { state_->links.ping_all(); });
 }
 
 link_server::~link_server() = default;
@@ -199,7 +199,7 @@
     : state_{std::make_unique<state>(std::move(handlers))} {
     websocketpp::lib::error_code failure;
     state_->client.init_asio(&loop.context(), failure);
-    loop.every(ping_interval, [this] { state_->links.probe(); });
+    loop.every(ping_interval, [this] { state_->links.ping_all(); });
 }
 
 link_client::~link_client() = default;
--- a/src/transport/link.h
+++ b/src/transport/link.h
@@ -1,6 +1,6 @@
 /** \file
  * Defines the links between our own processes: binary WebSocket messages (websocketpp), probed so that a
- * connection that has gone silent is noticed within \ref link_silence_limit and made anew.
+ * connection that has gone silent is noticed within \ref link_idle_timeout and made anew.
  */
 #pragma once
 
@@ -14,7 +14,7 @@
 /** Something between the two ends may lose track of a connection, and then no error ever comes: sends
  * succeed, nothing arrives. Pings are sent every second; without any sign of life for this long the
  * connection is closed and the owner connects again. */
-constexpr duration link_silence_limit = seconds(3);
+constexpr duration link_idle_timeout = seconds(3);
 
 struct link_handlers {
     std::function<void(link_id)> on_open;
--- a/src/transport/retry_after.cpp
+++ b/src/transport/retry_after.cpp
@@ -41,7 +41,7 @@
 }
 
 std::optional<duration> parse_retry_after(const std::string& text, const std::string& date) {
-    constexpr double longest = std::chrono::duration<double>(longest_retry_after).count();
+    constexpr double longest = std::chrono::duration<double>(max_retry_after).count();
     const std::optional<double> wait = seconds_until(text, date);
     if (!wait) {
         return std::nullopt;
--- a/test/platform_test.cpp
+++ b/test/platform_test.cpp
@@ -74,7 +74,7 @@
     EXPECT_EQ(value_of(decoded)->name, "main");
 }
 
-json sound_endpoint() {
+json valid_endpoint() {
     return {{"service", "pool"}, {"address", "10.0.0.1:80"}, {"zone", "z"},
             {"version", "v2"},   {"state", "ready"},         {"born", 1783180167117}};
 }
@@ -83,21 +83,21 @@
 // in a state that nobody knows. Taken for an endpoint, it would get requests; none of its kind may cost the
 // others.
 TEST(config_decoder, an_entry_of_another_writer_names_no_endpoint) {
-    ASSERT_NE(value_of(decode_endpoint(object_with(sound_endpoint()))), nullptr);
+    ASSERT_NE(value_of(decode_endpoint(object_with(valid_endpoint()))), nullptr);
     for (const char* field : {"service", "address", "zone", "version", "state"}) {
-        json spec = sound_endpoint();
+        json spec = valid_endpoint();
         spec.erase(field);
         EXPECT_NE(error_of(decode_endpoint(object_with(spec))), nullptr) << "without " << field;
         spec[field] = 7;
         EXPECT_NE(error_of(decode_endpoint(object_with(spec))), nullptr) << "a number as " << field;
     }
-    json spec = sound_endpoint();
+    json spec = valid_endpoint();
     spec["state"] = "resting";
     EXPECT_NE(error_of(decode_endpoint(object_with(spec))), nullptr);
-    spec = sound_endpoint();
+    spec = valid_endpoint();
     spec["born"] = "yesterday";
     EXPECT_NE(error_of(decode_endpoint(object_with(spec))), nullptr);
-    spec = sound_endpoint();
+    spec = valid_endpoint();
     spec["address"] = "nowhere";
     EXPECT_NE(error_of(decode_endpoint(object_with(spec))), nullptr);
     for (const json& other : {json("text"), json(), json::array({1, 2})}) {
@@ -106,11 +106,11 @@
 }
 
 TEST(config_decoder, the_start_of_an_endpoint_is_read) {
-    EXPECT_EQ(value_of(decode_endpoint(object_with(sound_endpoint())))->started_at_ms, 1783180167117);
+    EXPECT_EQ(value_of(decode_endpoint(object_with(valid_endpoint())))->started_at_ms, 1783180167117);
 }
 
 TEST(config_decoder, how_cold_an_endpoint_is_is_read) {
-    json spec = sound_endpoint();
+    json spec = valid_endpoint();
     EXPECT_EQ(value_of(decode_endpoint(object_with(spec)))->cold_ms, 0);
     spec["cold_remaining_ms"] = 1200.5;
     EXPECT_EQ(value_of(decode_endpoint(object_with(spec)))->cold_ms, 1201);
@@ -142,11 +142,11 @@
     json items = json::array();
     for (int i = 0; i < 60; ++i) {
         items.push_back({{"metadata", {{"name", "e" + std::to_string(i)}, {"revision", i + 1}}},
-                         {"spec", sound_endpoint()}});
+                         {"spec", valid_endpoint()}});
     }
     const std::string mark = "@@";
     const json unreadable[] = {json("text"),
-                               {{"spec", sound_endpoint()}},
+                               {{"spec", valid_endpoint()}},
                                {{"metadata", {{"name", "x"}, {"revision", "seven"}}}},
                                {{"metadata", {{"name", 5}, {"revision", 7}}}},
                                {{"metadata", {{"name", mark}, {"revision", 7}}}, {"spec", mark}}};
@@ -166,7 +166,7 @@
 }
 
 TEST(store_answers, an_unreadable_event_costs_no_other) {
-    const json sound = {{"metadata", {{"name", "e1"}, {"revision", 5}}}, {"spec", sound_endpoint()}};
+    const json sound = {{"metadata", {{"name", "e1"}, {"revision", 5}}}, {"spec", valid_endpoint()}};
     const json body = {{"events", json::array({{{"object", "text"}, {"removed", false}},
                                                {{"object", sound}, {"removed", false}},
                                                {{"removed", false}}})},
--- a/test/store_test.cpp
+++ b/test/store_test.cpp
@@ -46,8 +46,8 @@
     return {name, revision, json{{"revision", revision}}, json()};
 }
 
-struct watched {
-    watched()
+struct watch_fixture {
+    watch_fixture()
         : watch{loop,
                 store,
                 load_chart_or_exit(LAUREL_SOURCE_DIR "/charts", "object_watch"),
@@ -86,7 +86,7 @@
 };
 
 TEST(object_watch, lists_every_page_and_follows_from_the_first) {
-    watched copy;
+    watch_fixture copy;
     copy.answer_list(object_page{{object("a", 3)}, true, 7});
     ASSERT_EQ(copy.store.lists.size(), 1U);
     EXPECT_EQ(copy.store.lists.front().after, "a");
@@ -99,7 +99,7 @@
 // An operator withdraws a key and the store confirms it. An answer that was given before, and was long on its
 // way, arrives after; were it taken, the key would work again on this host.
 TEST(object_watch, an_older_object_never_replaces_a_newer_one) {
-    watched copy;
+    watch_fixture copy;
     copy.answer_list(object_page{{object("main", 5)}, false, 5});
     copy.answer_watch(object_events{{{object("main", 9), false}}, 9});
     copy.answer_watch(object_events{{{object("main", 7), false}}, 9});
@@ -109,7 +109,7 @@
 // The store drops its history and then answers a listing from before the newest change. Callers of this host
 // would see the old configuration come back.
 TEST(object_watch, a_listing_that_lags_behind_what_is_held_changes_nothing) {
-    watched copy;
+    watch_fixture copy;
     copy.answer_list(object_page{{object("main", 9)}, false, 9});
     copy.answer_watch(store_failure::history_gone);
     EXPECT_EQ(copy.histories_gone, 1);
@@ -121,10 +121,10 @@
 // A host starts and takes a cheap listing, from which an endpoint that has left since is not yet missing.
 // What it then follows must bring the removal, and a copy of a peer that is newer must go before the listing.
 TEST(object_watch, a_listing_that_may_lag_is_made_good_by_what_follows) {
-    watched copy;
+    watch_fixture copy;
     copy.store.lists.clear();
     copy.watch.pause();
-    copy.watch.start(first_listing::lagging);
+    copy.watch.start(listing_freshness::lagging);
     ASSERT_EQ(copy.store.lagging_lists, 1);
     ASSERT_TRUE(copy.watch.take_copy({{"a", object("a", 8)}}, 8));
     copy.answer_list(object_page{{object("a", 3), object("b", 4)}, false, 5});
@@ -136,7 +136,7 @@
 }
 
 TEST(object_watch, a_removed_object_is_forgotten) {
-    watched copy;
+    watch_fixture copy;
     copy.answer_list(object_page{{object("a", 1), object("b", 2)}, false, 2});
     copy.answer_watch(object_events{{{object("a", 3), true}}, 3});
     EXPECT_EQ(copy.held.count("a"), 0U);
@@ -144,7 +144,7 @@
 }
 
 TEST(object_watch, a_lost_store_is_told_once_and_so_is_its_return) {
-    watched copy;
+    watch_fixture copy;
     copy.answer_list(object_page{{object("a", 1)}, false, 1});
     copy.answer_watch(store_failure::unanswered);
     EXPECT_EQ(copy.reachability, std::vector<bool>({true}));
@@ -158,7 +158,7 @@
 // A host is cut off, and the cut heals. Its first call waited two seconds for news before the store's return
 // was known; endpoints that had left meanwhile were kept that much longer and got new requests.
 TEST(object_watch, the_first_call_after_a_failure_does_not_wait) {
-    watched copy;
+    watch_fixture copy;
     copy.answer_list(object_page{{object("a", 1)}, false, 1});
     EXPECT_EQ(copy.store.watches.back().wait, seconds(2));
     copy.answer_watch(store_failure::unanswered);
@@ -173,18 +173,18 @@
 // On a large fleet most hosts go by the copies of a few. Each change in the store raises its revision for
 // every kind; the whole configuration was copied again with each endpoint that came or went.
 TEST(object_watch, a_copy_counts_by_its_last_change) {
-    watched copy;
+    watch_fixture copy;
     copy.answer_list(object_page{{object("a", 1)}, false, 5});
     copy.answer_watch(object_events{{}, 9});
-    EXPECT_EQ(copy.watch.changed_at(), 5);
+    EXPECT_EQ(copy.watch.last_changed_revision(), 5);
     EXPECT_FALSE(copy.watch.take_copy({{"a", object("a", 1)}}, 5));
     EXPECT_TRUE(copy.watch.take_copy({{"b", object("b", 11)}}, 11));
     EXPECT_EQ(copy.held.count("b"), 1U);
-    EXPECT_EQ(copy.watch.changed_at(), 11);
+    EXPECT_EQ(copy.watch.last_changed_revision(), 11);
 }
 
 TEST(object_watch, a_paused_watch_makes_no_further_calls) {
-    watched copy;
+    watch_fixture copy;
     copy.answer_list(object_page{{object("a", 1)}, false, 1});
     copy.watch.pause();
     copy.answer_watch(object_events{{}, 1});
@@ -197,7 +197,7 @@
 // way fails a second later; the host took the store for lost, never looked again, and went on sending
 // requests to endpoints that had left, until it was restarted.
 TEST(object_watch, what_fails_after_a_pause_says_nothing_of_the_store) {
-    watched copy;
+    watch_fixture copy;
     copy.answer_list(object_page{{object("a", 1)}, false, 1});
     copy.watch.pause();
     copy.answer_watch(store_failure::unanswered);
@@ -213,11 +213,11 @@
 // The store is away for seconds. Of three watches one looks for its return; the others rest long, and are
 // woken.
 TEST(object_watch, one_that_rests_can_be_woken) {
-    watched copy;
+    watch_fixture copy;
     copy.answer_list(object_page{{object("a", 1)}, false, 1});
-    copy.watch.set_longest_rest(seconds(60));
+    copy.watch.set_max_backoff(seconds(60));
     copy.answer_watch(store_failure::unanswered);
-    copy.watch.ask_again();
+    copy.watch.restart_call();
     ASSERT_EQ(copy.store.watches.size(), 1U);
     copy.loop.after(milliseconds(120), [&] { copy.loop.stop(); });
     copy.loop.run();
@@ -227,9 +227,9 @@
 // Something between this host and the store has lost track of one connection; another still works. The call
 // on the first would wait for its whole time. Its answer, should it come, must not count twice.
 TEST(object_watch, asking_again_leaves_the_answer_of_the_call_before_out) {
-    watched copy;
+    watch_fixture copy;
     copy.answer_list(object_page{{object("a", 1)}, false, 1});
-    copy.watch.ask_again();
+    copy.watch.restart_call();
     ASSERT_EQ(copy.store.watches.size(), 2U);
     copy.answer_watch(object_events{{{object("a", 2), false}}, 2});
     EXPECT_EQ(copy.held.at("a").revision, 1);
@@ -240,9 +240,9 @@
 // The store drops its history, and one watch is told. That of the roll-outs went on waiting for eight seconds
 // in which it heard nothing: the order of a roll-out was seen eight seconds late.
 TEST(object_watch, listing_again_leaves_a_deaf_call_behind) {
-    watched copy;
+    watch_fixture copy;
     copy.answer_list(object_page{{object("a", 1)}, false, 1});
-    copy.watch.list_again();
+    copy.watch.relist();
     ASSERT_EQ(copy.store.lists.size(), 1U);
     copy.answer_watch(object_events{{}, 1});
     copy.answer_list(object_page{{object("a", 1), object("b", 4)}, false, 4});
@@ -253,7 +253,7 @@
 // Before a store drops its history, its watches may hear nothing of changes for a second. An empty answer
 // that came early, or that is taken for more than it proves, would keep a withdrawn key alive.
 TEST(object_watch, an_empty_answer_that_came_early_proves_only_its_sending) {
-    watched copy;
+    watch_fixture copy;
     copy.answer_list(object_page{{object("a", 1)}, false, 1});
     const time_point before = monotonic_now();
     copy.answer_watch(object_events{{}, 1});
@@ -270,7 +270,7 @@
         event_loop loop;
         scripted_store store;
         watch_timing timing{seconds(2), duration::zero()};
-        timing.spread_seed = seed;
+        timing.jitter_seed = seed;
         object_watch watch(loop, store, load_chart_or_exit(LAUREL_SOURCE_DIR "/charts", "object_watch"),
                            "config", timing,
                            {[](const objects_by_name&) {}, [](time_point) {}, [](bool) {}, [] {}});
--- a/test/transport_test.cpp
+++ b/test/transport_test.cpp
@@ -123,7 +123,7 @@
 TEST_F(http_pair, silence_is_told_apart_from_failure_and_from_not_sent) {
     std::vector<std::shared_ptr<http_responder>> kept;
     serve({}, [&](const http_request& request, const std::shared_ptr<http_responder>& responder) {
-        request.path == "/cut" ? responder->cut() : kept.push_back(responder);
+        request.path == "/cut" ? responder->abort() : kept.push_back(responder);
     });
     http_call call;
     call.timeout = milliseconds(200);
@@ -170,7 +170,7 @@
 TEST_F(http_pair, a_caller_that_goes_away_is_noticed) {
     bool is_gone = false;
     serve({}, [&](const http_request&, const std::shared_ptr<http_responder>& responder) {
-        responder->on_gone([&] {
+        responder->on_disconnect([&] {
             is_gone = true;
             loop.stop();
         });
