--- a/src/store/object_store.h
+++ b/src/store/object_store.h
@@ -1,6 +1,5 @@
 /** \file
- * Defines the store of versioned objects that the platform runs, as our code sees it. Its wire form is
- * elsewhere.
+ * Defines the interface to the platform's store of versioned objects, independent of its wire protocol.
  */
 #pragma once
 
@@ -14,7 +13,7 @@
 
 struct stored_object {
     std::string name;
-    std::int64_t revision = 0; ///< of its last change; grows over all objects
+    std::int64_t revision = 0; ///< of the object's last change; increases across all objects of the store
     json spec;
     json status;
 };
@@ -35,14 +34,14 @@
     std::int64_t as_of_revision = 0;
 };
 
-/** Why a call gave no result. */
+/** Reasons for which a call to the store returns no result. */
 enum class store_failure {
-    refused,      ///< the store did nothing (too busy, not serving this host)
-    unanswered,   ///< no answer: a write may have been done, or may be done yet
+    refused,      ///< the store did not execute the call, e.g. it was overloaded or unreachable
+    unanswered,   ///< no response: a write may have been applied, or may still be applied
     conflict,     ///< the object is not at the expected revision
     missing,      ///< there is no such object
     history_gone, ///< a watch from that revision is no longer possible
-    unreadable,   ///< an answer that is none
+    unreadable,   ///< the response could not be parsed
 };
 
 const char* to_string(store_failure failure);
@@ -50,7 +49,7 @@
 template <class T>
 using store_result = std::variant<T, store_failure>;
 
-/** Calls of the store. Each handler is called once, never before the call returns. */
+/** Asynchronous calls to the store. Each handler runs once, never before the call returns. */
 class object_store {
 public:
     using page_handler = std::function<void(const store_result<object_page>&)>;
@@ -64,20 +63,21 @@
 
     /** Lists the objects of \p kind whose names come after \p after. */
     virtual void list(const std::string& kind, const std::string& after, page_handler done) = 0;
-    /** As \ref list, of a state that may be seconds old: for a tenth of the price, and outside the rates. */
+    /** Like \ref list, but may return a state that is seconds old. Costs a tenth of a normal listing and does
+     * not count towards the rate limits. */
     virtual void list_lagging(const std::string& kind, const std::string& after, page_handler done) {
         list(kind, after, std::move(done));
     }
-    /** Waits up to \p wait for what happens to objects of \p kind after \p revision. */
+    /** Waits up to \p wait for changes to objects of \p kind after \p revision. */
     virtual void watch(const std::string& kind, std::int64_t revision, duration wait,
                        events_handler done) = 0;
-    /** Creates \p name; \c conflict if it exists. */
+    /** Creates \p name; fails with \c conflict if it exists. */
     virtual void create(const std::string& kind, const std::string& name, const json& spec,
                         object_handler done) = 0;
-    /** Replaces the status of \p name if it is still at \p revision. */
+    /** Replaces the status of \p name; fails with \c conflict unless the object is still at \p revision. */
     virtual void replace_status(const std::string& kind, const std::string& name, std::int64_t revision,
                                 const json& status, object_handler done) = 0;
-    /** Replaces the spec of \p name, whatever its revision. */
+    /** Replaces the spec of \p name unconditionally. */
     virtual void replace(const std::string& kind, const std::string& name, const json& spec,
                          object_handler done) = 0;
     virtual void remove(const std::string& kind, const std::string& name, object_handler done) = 0;
--- a/src/store/object_watch.cpp
+++ b/src/store/object_watch.cpp
@@ -4,8 +4,9 @@
 
 namespace {
 
-/// Rests after the first failures in a row, most of which are of one call alone. Calls are rationed for all
-/// hosts together, refused ones too.
+/// Backoff after the first consecutive failures. Most failures affect a single call, so these delays are
+/// short. Calls are not repeated at once because all hosts share a rate limit, which counts refused calls
+/// too.
 constexpr duration initial_backoffs[] = {milliseconds(50), milliseconds(150), milliseconds(250)};
 
 } // namespace
@@ -62,21 +63,22 @@
     if (state_ == "following" && !is_idle_) {
         follow();
     } else if (state_ == "resting" || state_ == "resting_unlisted") {
-        ++current_call_; // The rest that was begun ends here.
+        ++current_call_; // Invalidates the timer of the backoff in progress.
         end_backoff();
     }
 }
 
 void object_watch::relist() {
     if (state_ == "following" && !is_idle_) {
-        ++current_call_; // The answer of the call that waits counts no more.
+        ++current_call_; // Ignores the result of the call in progress.
         transition("history_gone");
         start();
     }
 }
 
 void object_watch::list_from(const std::string& after) {
-    const auto call = listing_freshness_ == listing_freshness::lagging ? &object_store::list_lagging : &object_store::list;
+    const auto call =
+        listing_freshness_ == listing_freshness::lagging ? &object_store::list_lagging : &object_store::list;
     (store_.*call)(kind_, after, [this](const auto& result) { on_page(result); });
 }
 
@@ -87,7 +89,8 @@
     }
     const object_page& page = std::get<object_page>(result);
     if (listed_objects_.empty()) {
-        // Followed from the first page: what changed while the others were read comes again as events.
+        // The watch follows from the revision of the first page: changes made while the other pages were read
+        // arrive again as events.
         listing_revision_ = page.as_of_revision;
     }
     for (const stored_object& item : page.items) {
@@ -99,7 +102,7 @@
     }
     set_reachable(true);
     transition("listed");
-    // A listing older than what is held comes from a store that lags; what is held stays.
+    // A listing older than the copy comes from a store that lags behind; the copy is kept.
     if (listing_revision_ >= revision_) {
         objects_ = std::move(listed_objects_);
         revision_ = listing_revision_;
@@ -116,7 +119,7 @@
     is_paused_ = false;
     if (is_idle_) {
         is_idle_ = false;
-        skips_next_wait_ = true; // What others have vouched for is old by now.
+        skips_next_wait_ = true; // Confirmations received from other hosts are out of date by now.
         follow();
     }
 }
@@ -149,8 +152,8 @@
     }
     const time_point sent_at = monotonic_now();
     const std::uint64_t call = ++current_call_;
-    // The first call after a failure does not wait: that the store is back must be known at once, because the
-    // time for which vanished endpoints are kept runs from there.
+    // The first call after a failure does not wait: the return of the store must be noticed at once, because
+    // the time for which endpoints that have disappeared are kept starts there.
     current_wait_ = is_reachable_ && !skips_next_wait_ ? next_wait() : duration::zero();
     skips_next_wait_ = false;
     store_.watch(kind_, revision_, current_wait_, [this, sent_at, call](const auto& result) {
@@ -160,8 +163,8 @@
     });
 }
 
-// Changes come in groups: a release replaces endpoints one after another, an operator edits in series. Asked
-// again at once, each change would cost a call by every host.
+// Changes come in series: a release replaces endpoints one after another, and operators make several edits in
+// a row. Without the delay, each change would cost a call by every host.
 void object_watch::follow_after_events() {
     const std::uint64_t call = ++current_call_;
     loop_.after(batch_delay_, [this, call] {
@@ -187,8 +190,9 @@
     return true;
 }
 
-// An answer proves what was current when the call was sent. One that says, after the whole wait, that nothing
-// happened proves more, but for the time in which a store that reorganises its history may hear nothing.
+// A response confirms the copy as of the time the call was sent. An empty response after the whole wait
+// confirms it for the time of the wait as well, less the window in which a store that is about to drop its
+// history may miss changes.
 duration object_watch::confirmed_wait(const object_events& heard, duration took) const {
     if (!heard.events.empty() || took < current_wait_) {
         return duration::zero();
@@ -229,8 +233,9 @@
         events_.on_history_gone();
         return;
     }
-    // A paused watch makes no further call, so it would hold a store for lost until it is resumed, and its
-    // host would keep endpoints that have left: it leaves that judgement to the hosts that read.
+    // A paused watch makes no further call, so it would consider the store lost until it is resumed, and its
+    // host would keep endpoints that have left. Whether the store is lost is decided by the hosts that read
+    // it.
     if (!is_paused_) {
         set_reachable(false);
     }
--- a/src/store/object_watch.h
+++ b/src/store/object_watch.h
@@ -1,5 +1,6 @@
 /** \file
- * Defines the watch over all objects of one kind: list, then follow, and start over when the history is gone.
+ * Defines the watch over all objects of one kind: it lists them, follows their changes, and lists again when
+ * the store has dropped the history of changes.
  */
 #pragma once
 
@@ -12,41 +13,44 @@
 
 using objects_by_name = std::map<std::string, stored_object>;
 
-/** What a watch begins with. */
+/** How current the listing must be with which a watch begins. */
 enum class listing_freshness {
     newest,
-    lagging, ///< cheap, and may be seconds old; the calls that follow make up for it
+    lagging, ///< costs less and may be seconds old; the watch calls that follow bring the missing changes
 };
 
-/** How a kind of object is followed. */
+/** Wait times and delays of the calls with which a kind of object is watched. */
 struct watch_timing {
-    duration wait{};      ///< one call waits so long for news; what is held is confirmed at least this often
-    duration batch_delay{}; ///< after news, before the next call, so that a series costs few calls
-    /// Between calls that fail one after another, from the fourth on.
+    duration
+        wait{}; ///< how long one watch call waits for changes, roughly the longest time between confirmations
+    duration batch_delay{}; ///< between a call that returned changes and the next, so that a series costs few
+                            ///< calls
+    /// Delay after a failed call, from the fourth consecutive failure on.
     duration max_backoff = milliseconds(250);
-    /// Seed by which each call waits up to a quarter more or less: hosts that follow in step know the same
-    /// moment, and none could vouch for another when the store goes. 0: no spread.
+    /// Seed of the jitter, which varies the wait of each call by up to a quarter. Without it, hosts whose
+    /// calls run in step were all last confirmed at the same time, so that none has a fresher confirmation
+    /// for its peers when the store becomes unreachable. 0: no jitter.
     std::uint64_t jitter_seed = 0;
 };
 
-/// For up to a second before a store drops its history, its watches may miss changes.
+/// Watches may miss changes for up to a second before the store drops its history.
 constexpr duration event_loss_window = milliseconds(1100);
 
-/** Keeps a copy of the objects of one kind.
+/** Keeps a local copy of the objects of one kind.
  *
- * Its states stand in charts/object_watch.scxml: listing, following, resting (after a failure). Revisions
- * only rise: a page or event that is older than what is held is left out, so that a reading that was delayed
- * on its way never puts an old object back. */
+ * Its states are defined in charts/object_watch.scxml: listing, following, and resting (backoff after a
+ * failure). Revisions only increase: a listing or event that is older than the copy is ignored, so that a
+ * delayed response never restores an old object. */
 class object_watch {
 public:
     struct handlers {
         /// The copy has changed.
         std::function<void(const objects_by_name&)> on_change;
-        /// What is held was complete and current at \c as_of.
+        /// The copy was complete and current at \c as_of.
         std::function<void(time_point as_of)> on_confirmed;
-        /// Calls fail (true) or succeed again (false).
+        /// Calls have begun to fail (true) or succeed again (false).
         std::function<void(bool is_lost)> on_reachability;
-        /// The store has dropped the history that the watch went by.
+        /// The store has dropped the history from which the watch was following.
         std::function<void()> on_history_gone;
     };
 
@@ -54,22 +58,24 @@
                  handlers events);
 
     void start(listing_freshness first = listing_freshness::newest);
-    /** Asks again now: a call under way may wait on a connection that was lost without a sign, as another
-     * one to the same store was; and one that rests after a failure need not, as the store answers. */
+    /** Replaces the call in progress by a new one, or ends the backoff after a failure. Used once another
+     * watch finds the store reachable: the call in progress may be waiting on a connection that was lost
+     * without an error, and a backoff is no longer needed. */
     void restart_call();
     void set_max_backoff(duration longest) { max_backoff_ = longest; }
     void set_batch_delay(duration batch_delay) { batch_delay_ = batch_delay; }
     void set_wait(duration wait) { wait_ = wait; }
-    /** Lists anew now. When the store drops its history, a watch of another kind may go on waiting to its
-     * end without hearing what has happened meanwhile. */
+    /** Abandons the call in progress and lists all objects again. When the store drops its history, the watch
+     * calls of other kinds may wait to their end without receiving the changes made meanwhile. */
     void relist();
-    /** Makes no further calls until \ref resume; a call under way is heard to its end. */
+    /** Makes no further calls until \ref resume; the result of a call in progress is still processed. */
     void pause() { is_paused_ = true; }
     void resume();
-    /** Takes what another host holds, if it is newer.
-     * \param last_changed_revision the \ref last_changed_revision of that host \return whether it was */
+    /** Replaces the copy by that of another host if that one is newer.
+     * \param last_changed_revision the \ref last_changed_revision of the other host's copy
+     * \return whether it was newer */
     bool take_copy(objects_by_name objects, std::int64_t last_changed_revision);
-    /** \return the store's revision when what is held last changed. */
+    /** \return the store's revision at the last change of the copy. */
     std::int64_t last_changed_revision() const { return last_changed_revision_; }
     const objects_by_name& objects() const { return objects_; }
     bool is_listed() const { return is_listed_; }
@@ -96,25 +102,26 @@
     duration next_wait();
 
     duration wait_;
-    duration current_wait_{}; ///< of the call under way
+    duration current_wait_{}; ///< wait time of the call in progress
     std::optional<random_source> jitter_;
     duration batch_delay_;
     duration max_backoff_;
     handlers events_;
     objects_by_name objects_;
-    objects_by_name listed_objects_; ///< pages of a listing under way
+    objects_by_name listed_objects_; ///< objects received so far by the listing in progress
     std::int64_t listing_revision_ = 0;
     std::int64_t revision_ = 0;
     std::int64_t last_changed_revision_ = 0;
     time_point listing_started_at_;
-    listing_freshness listing_freshness_ = listing_freshness::newest; ///< the one under way
+    listing_freshness listing_freshness_ = listing_freshness::newest; ///< of the listing in progress
     int failures_ = 0;
-    std::uint64_t current_call_ = 0; ///< the one whose answer counts
+    std::uint64_t current_call_ =
+        0; ///< number of the call or backoff in progress; results of earlier ones are ignored
     bool is_listed_ = false;
     bool is_reachable_ = true;
     bool is_paused_ = false;
-    bool is_idle_ = false;  ///< paused, with no call under way
-    bool skips_next_wait_ = false; ///< the next call does not wait for news
+    bool is_idle_ = false;         ///< paused, with no call in progress
+    bool skips_next_wait_ = false; ///< the next watch call returns at once instead of waiting for changes
 };
 
 } // namespace laurelhoist
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -1,5 +1,6 @@
 /** \file
- * The one public header of the store library: the platform's store of objects, and a kept copy of one kind.
+ * The one public header of the store library: the interface to the platform's store of objects, and the watch
+ * that keeps a local copy of the objects of one kind.
  */
 #pragma once
 
--- a/src/transport/datagram.cpp
+++ b/src/transport/datagram.cpp
@@ -51,8 +51,7 @@
         state_->socket.non_blocking(true);
     } catch (const std::exception& failure) {
         refuse_setting("datagram address", address.host + ":" + std::to_string(address.port),
-                       std::string("cannot be bound (") + failure.what() +
-                           "); give a free port of this host");
+                       std::string("cannot be bound (") + failure.what() + "); use a free port of this host");
     }
     state_->receive();
 }
@@ -68,7 +67,8 @@
     if (target == nullptr) {
         return;
     }
-    boost::system::error_code dropped; // A datagram may be lost on its way as well; nothing depends on one.
+    boost::system::error_code
+        dropped; // Datagrams may be lost in transit too, so callers do not rely on any one.
     state_->socket.send_to(asio::buffer(bytes), {asio::ip::make_address(target->host), target->port}, 0,
                            dropped);
     state_->sent += dropped ? 0 : bytes.size();
--- a/src/transport/datagram.h
+++ b/src/transport/datagram.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines datagrams between our own processes: small, sent without waiting, lost now and then.
+ * Defines datagrams between the processes of this project: small, sent without blocking, and sometimes lost.
  */
 #pragma once
 
@@ -11,14 +11,14 @@
 public:
     using handler = std::function<void(const std::string& from, const std::string& bytes)>;
 
-    /** Binds to \p address; ends the process with a remedy if it is taken.
+    /** Binds to \p address; ends the process with an error message if it cannot be bound.
      * \param on_received gets the sender's `ip:port` and the bytes */
     datagram_socket(event_loop& loop, const socket_address& address, handler on_received);
     ~datagram_socket();
     datagram_socket(const datagram_socket&) = delete;
     datagram_socket& operator=(const datagram_socket&) = delete;
 
-    /** Sends \p bytes to \p address (`ip:port`); drops them if the network takes none now. */
+    /** Sends \p bytes to \p address (`ip:port`); drops them if they cannot be sent at once. */
     void send(const std::string& address, const std::string& bytes);
     std::uint64_t bytes_sent() const;
 
--- a/src/transport/event_loop.h
+++ b/src/transport/event_loop.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines the one event loop and thread of a process.
+ * Defines the event loop of a process, which runs on a single thread.
  */
 #pragma once
 
@@ -24,7 +24,7 @@
     /** Runs until \ref stop; may be called again. */
     void run();
     void stop();
-    /** Runs \p work later, never before this returns. */
+    /** Queues \p work, which never runs before this function returns. */
     void post(std::function<void()> work);
     /** Runs \p work once after \p delay. */
     void after(duration delay, std::function<void()> work);
@@ -33,7 +33,7 @@
     /** Runs \p work on SIGTERM or SIGINT. */
     void on_stop_signal(std::function<void()> work);
 
-    /** The Asio context, for this library only. */
+    /** \return the Asio context, for use within the transport library only. */
     boost::asio::io_context& context();
 
 private:
--- a/src/transport/http_client.cpp
+++ b/src/transport/http_client.cpp
@@ -154,8 +154,9 @@
         });
     }
 
-    // A kept connection that breaks before any byte of an answer was most likely closed by the other side
-    // while it was idle. Only calls that may be repeated use kept connections, so a new one is tried.
+    // A reused connection that breaks before the first byte of a response was most likely closed by the
+    // server while it was idle. Only calls that may be repeated reuse connections, so the call is retried on
+    // a new connection.
     void on_connection_failed() {
         if (is_reused_ && !has_response_begun_) {
             is_reused_ = false;
@@ -178,8 +179,8 @@
                                  });
     }
 
-    // Beast's own read of a chunked body hands a chunk on only when the next arrives, which would delay
-    // every token of a stream by one; so what has come is put to the parser at once.
+    // Beast's own read of a chunked body delivers a chunk only when the next one arrives, which would delay
+    // every token of a stream by one. Received bytes are therefore passed to the parser directly.
     void on_read(beast::error_code failure) {
         beast::error_code parse_failure;
         while (buffer_.size() > 0 && !parser_->is_done() && !parse_failure) {
--- a/src/transport/http_client.h
+++ b/src/transport/http_client.h
@@ -1,6 +1,6 @@
 /** \file
- * Defines the HTTP client. What matters to the decisions is kept apart: whether a request was certainly
- * never sent, failed, or fell silent.
+ * Defines the HTTP client. Its result tells the cases apart that decide whether a request may be retried:
+ * never sent, connection broken after sending, and timed out.
  */
 #pragma once
 
@@ -14,23 +14,23 @@
     std::string target = "/";
     http_headers headers;
     std::string body;
-    duration timeout = seconds(5); ///< for the whole answer, or between two pieces of a streamed one
+    duration timeout = seconds(5); ///< for the whole response, or between two pieces of a streamed one
     duration connect_timeout = seconds(1);
     bool is_streamed = false;
-    /** Each piece of the answer restarts \ref timeout, as for a streamed one: a megabyte over 10 Mbit/s takes
-     * longer than the silence after which a connection counts as lost. */
+    /** Each piece of the response restarts \ref timeout, as for a streamed one: a megabyte over 10 Mbit/s
+     * takes longer than the silence after which a connection is considered lost. */
     bool is_large = false;
-    /** A kept connection may have died without a sign, and then it is not known whether a request on it
-     * was received. A call that may not be repeated therefore gets a connection of its own. */
+    /** An idle connection may have been lost without an error, and then it is unknown whether a request sent
+     * on it was received. A call that must not be repeated therefore uses a new connection. */
     bool needs_fresh_connection = false;
 };
 
 struct http_answer {
     enum class result {
         answered,
-        not_sent, ///< no connection: nothing reached the other side
-        failed,   ///< the connection broke after sending: it may have been received
-        silent,   ///< nothing came in time
+        not_sent, ///< the connection could not be established: the server received nothing
+        failed,   ///< the connection broke after sending began: the server may have received the request
+        silent,   ///< no response, or no further piece of it, arrived within the timeout
     };
     result what = result::failed;
     int status = 0;
@@ -44,7 +44,7 @@
 public:
     using answer_handler = std::function<void(const http_answer&)>;
     using piece_handler = std::function<void(const std::string&)>;
-    /** Ends the call; its handlers are not called any more. */
+    /** Cancels the call; its handlers are not called afterwards. */
     using canceller = std::function<void()>;
 
     explicit http_client(event_loop& loop);
@@ -52,7 +52,7 @@
     http_client(const http_client&) = delete;
     http_client& operator=(const http_client&) = delete;
 
-    /** \param on_piece gets the body of a 200 answer piece by piece if the call is streamed; may be empty */
+    /** \param on_piece receives the body of a 200 response piece by piece as it arrives; may be empty */
     canceller send(const http_call& call, answer_handler on_answer, piece_handler on_piece = {});
 
 private:
@@ -60,7 +60,7 @@
     std::shared_ptr<state> state_;
 };
 
-/** Sends \p call and waits for its answer on a loop of its own; for command lines and tests. */
+/** Sends \p call and blocks until its result is known, on a separate event loop; for command-line tools. */
 http_answer send_and_wait(const http_call& call);
 
 } // namespace laurelhoist
--- a/src/transport/http_server.cpp
+++ b/src/transport/http_server.cpp
@@ -84,7 +84,7 @@
     return request;
 }
 
-/** One connection of a caller; answers one request after another. */
+/** One connection of a caller; serves its requests one after another. */
 template <class State>
 class server_session : public http_responder, public std::enable_shared_from_this<server_session<State>> {
 public:
@@ -106,8 +106,8 @@
         is_first_ = false;
         is_answered_ = false;
         is_streaming_ = false;
-        // The first byte ends the idle time and starts the reading time: a caller that sends a body
-        // byte by byte is cut off, one that keeps its connection between requests is not.
+        // The first byte of a request ends the idle timeout and starts the read timeout: a caller that sends
+        // a body byte by byte is disconnected, one that keeps its connection open between requests is not.
         auto self = this->shared_from_this();
         if (buffer_.size() > 0) {
             read_request();
@@ -216,8 +216,8 @@
         reply(http_status(failure.kind), {}, to_error_body(failure, "").dump());
     }
 
-    // Without reading, a caller that goes away would only be noticed by a failing write, after the work
-    // has been paid for.
+    // Without a pending read, a disconnect of the caller would be noticed only by a failing write, after the
+    // work for the request has been done.
     void watch_for_close() {
         auto self = this->shared_from_this();
         stream_.socket().async_wait(tcp::socket::wait_read, [self](beast::error_code failure) {
@@ -278,7 +278,7 @@
             stream_.socket().shutdown(tcp::socket::shutdown_send, ignored);
             return;
         }
-        stream_.socket().cancel(ignored); // Ends the watch for a close.
+        stream_.socket().cancel(ignored); // Cancels watch_for_close.
         auto self = this->shared_from_this();
         asio::post(stream_.get_executor(), [self] { self->read_next(); });
     }
@@ -342,8 +342,8 @@
         return std::make_unique<http_server>(loop, address, limits, std::move(on_request));
     } catch (const std::exception& failure) {
         refuse_setting("--" + flag, address.host + ":" + std::to_string(address.port),
-                       std::string("cannot listen there (") + failure.what() +
-                           "); give an address of this host that is free");
+                       std::string("cannot listen on this address (") + failure.what() +
+                           "); use a free address of this host");
     }
 }
 
--- a/src/transport/http_server.h
+++ b/src/transport/http_server.h
@@ -1,6 +1,7 @@
 /** \file
- * Defines the HTTP server: bounded in header, body, time and connections, so that a malformed, oversized,
- * slow or half-open caller costs a clear error and nobody else's time.
+ * Defines the HTTP server. Header size, body size, read time and the number of connections are limited, so
+ * that a malformed, oversized, slow or half-open request ends with an error and does not affect other
+ * callers.
  */
 #pragma once
 
@@ -10,7 +11,7 @@
 
 namespace laurelhoist {
 
-/** A request, read whole. */
+/** A request that has been received completely. */
 struct http_request {
     std::string method;
     std::string path;
@@ -25,7 +26,7 @@
 
 using http_headers = std::map<std::string, std::string>;
 
-/** The way to answer one request; may be kept and used later. */
+/** Responds to one request; may be stored and used later. */
 class http_responder {
 public:
     http_responder() = default;
@@ -33,24 +34,25 @@
     http_responder& operator=(const http_responder&) = delete;
     virtual ~http_responder() = default;
 
-    /** Answers whole. Only the first answer counts. */
+    /** Sends a complete response. Ignored once a response has been sent or begun. */
     virtual void reply(int status, const http_headers& headers, std::string body) = 0;
-    /** Begins a chunked answer. */
+    /** Begins a chunked response. */
     virtual void begin_stream(int status, const http_headers& headers) = 0;
     virtual void write(std::string text) = 0;
-    /** Ends a chunked answer; without this the caller sees a cut one. */
+    /** Ends a chunked response; without this call the response is truncated for the caller. */
     virtual void end_stream() = 0;
-    /** Closes the connection at once, so that a begun answer cannot be taken for whole. */
+    /** Closes the connection at once, so that a response in progress cannot be mistaken for a complete one.
+     */
     virtual void abort() = 0;
-    /** Sets what to do when the caller goes away before the answer is complete. */
+    /** Sets what to run when the caller disconnects before the response is complete. */
     virtual void on_disconnect(std::function<void()> work) = 0;
 };
 
 struct http_limits {
     std::size_t body_bytes = 1 << 20;
     std::size_t header_bytes = 16 << 10;
-    duration read_time = seconds(10); ///< from the first byte of a request to its last
-    duration idle_time = seconds(60); ///< of a kept connection
+    duration read_time = seconds(10); ///< timeout from the first byte of a request to its last
+    duration idle_time = seconds(60); ///< timeout of a connection between two requests
     std::size_t connections = 4000;
 };
 
@@ -58,7 +60,7 @@
 public:
     using handler = std::function<void(const http_request&, const std::shared_ptr<http_responder>&)>;
 
-    /** Starts to listen. \throws std::system_error if the address cannot be bound */
+    /** Starts listening. \throws std::system_error if the address cannot be bound */
     http_server(event_loop& loop, const socket_address& address, const http_limits& limits,
                 handler on_request);
     ~http_server();
@@ -74,7 +76,7 @@
     std::shared_ptr<state> state_;
 };
 
-/** Starts a server, ending the process with a remedy if \p address is taken. */
+/** Starts a server; ends the process with an error message if it cannot listen on \p address. */
 std::unique_ptr<http_server> listen_or_exit(event_loop& loop, const std::string& flag,
                                             const socket_address& address, const http_limits& limits,
                                             http_server::handler on_request);
--- a/src/transport/link.cpp
+++ b/src/transport/link.cpp
@@ -26,7 +26,7 @@
     static const websocketpp::log::level alog_level = websocketpp::log::alevel::none;
 };
 
-/** What servers and clients have in common: the open connections and their signs of life. */
+/** Shared by servers and clients: the connections and the time at which each last received something. */
 template <class Endpoint>
 class link_table {
 public:
@@ -35,8 +35,9 @@
         endpoint_.clear_access_channels(websocketpp::log::alevel::all);
         endpoint_.clear_error_channels(websocketpp::log::elevel::all);
         endpoint_.set_max_message_size(max_message_bytes);
-        // Small messages answer one another here. With the delay that TCP puts on them by default, a bill's
-        // acknowledgement, and with it the answer to the caller, comes some 40 ms late now and then.
+        // Links exchange small messages that wait for one another. With Nagle's algorithm, which TCP uses by
+        // default, the acknowledgement of a bill, and with it the response to the caller, sometimes arrives
+        // about 40 ms late.
         endpoint_.set_tcp_post_init_handler([this](connection_hdl handle) {
             websocketpp::lib::error_code failure;
             boost::system::error_code ignored;
@@ -80,7 +81,7 @@
         if (found == connections_.end()) {
             return;
         }
-        // A polite close would wait for the other end, which may have gone silent.
+        // A WebSocket closing handshake would wait for the peer, which may no longer respond.
         websocketpp::lib::error_code ignored;
         const auto connection = endpoint_.get_con_from_hdl(found->second.handle, ignored);
         if (connection) {
@@ -168,8 +169,8 @@
     state_->server.listen(endpoint, failure);
     if (failure) {
         refuse_setting("--listen", address.host + ":" + std::to_string(address.port),
-                       "cannot listen there (" + failure.message() +
-                           "); give an address of this host that is free");
+                       "cannot listen on this address (" + failure.message() +
+                           "); use a free address of this host");
     }
     state_->server.start_accept(failure);
     loop.every(ping_interval, [this] { state_->links.ping_all(); });
--- a/src/transport/link.h
+++ b/src/transport/link.h
@@ -1,6 +1,6 @@
 /** \file
- * Defines the links between our own processes: binary WebSocket messages (websocketpp), probed so that a
- * connection that has gone silent is noticed within \ref link_idle_timeout and made anew.
+ * Defines the links between the processes of this project: binary WebSocket messages (websocketpp). Each link
+ * is pinged, so that a connection that no longer delivers anything is closed after \ref link_idle_timeout.
  */
 #pragma once
 
@@ -8,12 +8,12 @@
 
 namespace laurelhoist {
 
-/** Names one connection within a process; never used again. */
+/** Identifies a connection within its \ref link_server or \ref link_client; never reused. */
 using link_id = std::uint64_t;
 
-/** Something between the two ends may lose track of a connection, and then no error ever comes: sends
- * succeed, nothing arrives. Pings are sent every second; without any sign of life for this long the
- * connection is closed and the owner connects again. */
+/** A device on the network path may drop its state of a connection. Sends then succeed, nothing arrives, and
+ * no error is ever reported. Pings are sent every second; if neither a pong nor a message arrives for this
+ * long, the connection is closed and on_close is called, so that the owner can connect again. */
 constexpr duration link_idle_timeout = seconds(3);
 
 struct link_handlers {
@@ -45,7 +45,8 @@
     ~link_client();
     link_client(const link_client&) = delete;
     link_client& operator=(const link_client&) = delete;
-    /** Begins to connect; on_open or on_close follows. */
+    /** Starts connecting; on_open or on_close follows. \return 0 if \p address is invalid, and then no
+     * handler is called */
     link_id connect(const std::string& address);
     void send(link_id link, const std::string& message);
     void close(link_id link);
--- a/src/transport/retry_after.cpp
+++ b/src/transport/retry_after.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// \return seconds since 1970 of a date as HTTP writes it, or nothing
+/// \return the HTTP date \p text in seconds since 1970, or nothing if it cannot be parsed
 std::optional<double> parse_http_date(const std::string& text) {
     std::tm fields{};
     std::istringstream stream(text);
--- a/src/transport/socket_options.cpp
+++ b/src/transport/socket_options.cpp
@@ -7,15 +7,16 @@
 
 namespace {
 
-/// Bytes unacknowledged for this long end the connection, in ms; well above a few lost packets in a row.
+/// Sent bytes that stay unacknowledged for this long, in ms, end the connection. A few consecutive lost
+/// packets stay well below this limit.
 constexpr int unacknowledged_ms = 4000;
-constexpr int keep_alive_idle_s = 2;     ///< of silence before the first probe
-constexpr int keep_alive_interval_s = 1; ///< between probes
-constexpr int keep_alive_probes = 3;     ///< unanswered ones that end the connection
+constexpr int keep_alive_idle_s = 2;     ///< idle time before the first keep-alive probe
+constexpr int keep_alive_interval_s = 1; ///< interval between keep-alive probes
+constexpr int keep_alive_probes = 3;     ///< number of unanswered keep-alive probes that end the connection
 
 template <class Value>
 void set_option(int handle, int level, int name, Value value) {
-    // Best effort: a system without the option still has the timeouts of the relay itself.
+    // Best effort: on a system without the option, the timeouts of the relay still apply.
     (void)::setsockopt(handle, level, name, &value, sizeof value);
 }
 
--- a/src/transport/socket_options.h
+++ b/src/transport/socket_options.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines the socket options of every connection.
+ * Defines the socket options that detect dead connections.
  */
 #pragma once
 
@@ -7,8 +7,9 @@
 
 namespace laurelhoist {
 
-/** Sets what lets a dead peer be noticed. A host without power, or a path that has lost track of the
- * connection, answers nothing: without these, sends succeed and reads wait for ever. */
+/** Sets TCP_NODELAY and the options by which a dead peer is detected. A host without power, or a device on
+ * the path that has dropped its state of the connection, does not respond: without these options, sends
+ * succeed and reads wait forever. */
 void set_liveness_options(boost::asio::ip::tcp::socket& socket);
 
 } // namespace laurelhoist
--- a/src/transport/transport.h
+++ b/src/transport/transport.h
@@ -1,6 +1,6 @@
 /** \file
- * The one public header of the transport library: the event loop, HTTP in both directions (Boost.Beast)
- * and the links between our own processes (websocketpp). No decision is taken here.
+ * The one public header of the transport library: the event loop, HTTP client and server (Boost.Beast), and
+ * datagrams and links (websocketpp) between the processes of this project. It contains no routing decisions.
  */
 #pragma once
 
--- a/test/platform_test.cpp
+++ b/test/platform_test.cpp
@@ -26,7 +26,7 @@
      "tenants":[{"name":"osijek","api_keys":["k1","k2"],"priority":1}]})");
 }
 
-TEST(config_decoder, translates_every_field) {
+TEST(config_decoder, decodes_every_field) {
     const outcome<traffic_config> decoded = decode_config(object_with(sample_config()));
     const traffic_config* config = value_of(decoded);
     ASSERT_NE(config, nullptr);
@@ -47,14 +47,14 @@
     EXPECT_EQ(config->teams[0].priority, 1);
 }
 
-TEST(config_decoder, a_kind_that_is_not_known_may_run_only_once) {
+TEST(config_decoder, an_unknown_kind_is_non_idempotent) {
     json config = sample_config();
     config["routes"][0]["kind"] = "brand-new";
     const outcome<traffic_config> decoded = decode_config(object_with(config));
     EXPECT_EQ(value_of(decoded)->routes[0].kind, route_kind::non_idempotent);
 }
 
-TEST(config_decoder, what_does_not_decode_says_so_with_its_revision) {
+TEST(config_decoder, an_undecodable_object_gives_an_error_with_its_revision) {
     json config = sample_config();
     config["routes"][0].erase("host");
     const outcome<traffic_config> decoded = decode_config(object_with(config, 31));
@@ -62,7 +62,7 @@
     EXPECT_NE(error_of(decoded)->message.find("revision 31"), std::string::npos);
 }
 
-TEST(config_decoder, an_endpoint_that_drains_is_leaving) {
+TEST(config_decoder, a_draining_endpoint_is_leaving) {
     const json spec = {{"service", "pool"},
                        {"address", "10.0.0.1:80"},
                        {"zone", "z"},
@@ -79,10 +79,9 @@
             {"version", "v2"},   {"state", "ready"},         {"born", 1783180167117}};
 }
 
-// Another writer leaves an entry among the endpoints: without an address, with a number where a text belongs,
-// in a state that nobody knows. Taken for an endpoint, it would get requests; none of its kind may cost the
-// others.
-TEST(config_decoder, an_entry_of_another_writer_names_no_endpoint) {
+// Other writers may leave entries among the endpoints that lack a field, hold a number in place of a text, or
+// have an unknown state. Such an entry must be refused, or it would receive requests as an endpoint.
+TEST(config_decoder, refuses_an_entry_that_is_not_an_endpoint) {
     ASSERT_NE(value_of(decode_endpoint(object_with(valid_endpoint()))), nullptr);
     for (const char* field : {"service", "address", "zone", "version", "state"}) {
         json spec = valid_endpoint();
@@ -105,11 +104,11 @@
     }
 }
 
-TEST(config_decoder, the_start_of_an_endpoint_is_read) {
+TEST(config_decoder, decodes_the_start_time_of_an_endpoint) {
     EXPECT_EQ(value_of(decode_endpoint(object_with(valid_endpoint())))->started_at_ms, 1783180167117);
 }
 
-TEST(config_decoder, how_cold_an_endpoint_is_is_read) {
+TEST(config_decoder, decodes_the_remaining_cold_time_of_an_endpoint) {
     json spec = valid_endpoint();
     EXPECT_EQ(value_of(decode_endpoint(object_with(spec)))->cold_ms, 0);
     spec["cold_remaining_ms"] = 1200.5;
@@ -118,7 +117,7 @@
     EXPECT_NE(error_of(decode_endpoint(object_with(spec))), nullptr);
 }
 
-TEST(config_decoder, what_a_cold_endpoint_takes_is_read) {
+TEST(config_decoder, decodes_cold_start_time_and_rate_of_a_service) {
     json config = sample_config();
     config["services"][0]["cold_start_s"] = 2.5;
     config["services"][0]["cold_per_s"] = 12.0;
@@ -128,7 +127,7 @@
     EXPECT_EQ(value_of(decoded)->services[0].cold_requests_per_s, 12.0);
 }
 
-TEST(config_decoder, an_evacuation_is_named_for_its_domain) {
+TEST(config_decoder, an_evacuation_is_named_after_its_domain) {
     stored_object object = object_with(json::object());
     object.name = "hall1";
     EXPECT_EQ(*value_of(decode_evacuation(object)), "hall1");
@@ -136,45 +135,46 @@
     EXPECT_NE(error_of(decode_evacuation(object)), nullptr);
 }
 
-// One unreadable entry among sixty: the other fifty-nine are served from. Its bytes are no text, or it has no
-// name, or its revision is a text.
-TEST(store_answers, an_unreadable_entry_costs_no_other) {
+// Guards against one undecodable entry (not valid UTF-8, no name, or a revision that is a text) making the
+// whole list unusable: of sixty entries, the other fifty-nine must be decoded.
+TEST(store_answers, an_undecodable_entry_does_not_affect_others) {
     json items = json::array();
     for (int i = 0; i < 60; ++i) {
         items.push_back({{"metadata", {{"name", "e" + std::to_string(i)}, {"revision", i + 1}}},
                          {"spec", valid_endpoint()}});
     }
-    const std::string mark = "@@";
-    const json unreadable[] = {json("text"),
-                               {{"spec", valid_endpoint()}},
-                               {{"metadata", {{"name", "x"}, {"revision", "seven"}}}},
-                               {{"metadata", {{"name", 5}, {"revision", 7}}}},
-                               {{"metadata", {{"name", mark}, {"revision", 7}}}, {"spec", mark}}};
-    for (const json& entry : unreadable) {
+    const std::string placeholder = "@@";
+    const json undecodable[] = {
+        json("text"),
+        {{"spec", valid_endpoint()}},
+        {{"metadata", {{"name", "x"}, {"revision", "seven"}}}},
+        {{"metadata", {{"name", 5}, {"revision", 7}}}},
+        {{"metadata", {{"name", placeholder}, {"revision", 7}}}, {"spec", placeholder}}};
+    for (const json& entry : undecodable) {
         json body = {{"items", items}, {"at", 90}, {"has_more", false}};
         body["items"][30] = entry;
         std::string text = body.dump();
-        for (std::size_t at = text.find(mark); at != std::string::npos; at = text.find(mark)) {
-            text.replace(at, mark.size(), "\xff\xc3");
+        for (std::size_t at = text.find(placeholder); at != std::string::npos; at = text.find(placeholder)) {
+            text.replace(at, placeholder.size(), "\xff\xc3");
         }
         const object_page page = read_page(text);
-        const auto sound = std::count_if(page.items.begin(), page.items.end(), [](const auto& object) {
+        const auto valid = std::count_if(page.items.begin(), page.items.end(), [](const auto& object) {
             return value_of(decode_endpoint(object)) != nullptr;
         });
-        EXPECT_EQ(sound, 59) << entry;
+        EXPECT_EQ(valid, 59) << entry;
     }
 }
 
-TEST(store_answers, an_unreadable_event_costs_no_other) {
-    const json sound = {{"metadata", {{"name", "e1"}, {"revision", 5}}}, {"spec", valid_endpoint()}};
+TEST(store_answers, an_undecodable_event_does_not_affect_others) {
+    const json valid = {{"metadata", {{"name", "e1"}, {"revision", 5}}}, {"spec", valid_endpoint()}};
     const json body = {{"events", json::array({{{"object", "text"}, {"removed", false}},
-                                               {{"object", sound}, {"removed", false}},
+                                               {{"object", valid}, {"removed", false}},
                                                {{"removed", false}}})},
                        {"at", 6}};
     EXPECT_EQ(read_events(body.dump()).events.size(), 1U);
 }
 
-TEST(config_decoder, a_status_counts_only_for_the_release_it_names) {
+TEST(config_decoder, a_status_applies_only_to_the_release_it_names) {
     stored_object object = object_with({{"service", "pool"}, {"target", "v3"}, {"duration_s", 12}});
     object.status = {{"state", "completed"}, {"target", "v2"}};
     const outcome<rollout_order> next = decode_rollout(object);
@@ -196,7 +196,7 @@
     return request;
 }
 
-TEST(header_dialect, reads_what_a_request_says) {
+TEST(header_dialect, decodes_the_fields_of_a_request) {
     const header_dialect dialect;
     const request_terms terms = dialect.read_request(request_with({{"Host", "a.example"},
                                                                    {"x-request-id", "9c"},
@@ -215,8 +215,9 @@
     EXPECT_EQ(terms.last_event_id, 12);
 }
 
-// A caller names another team, or gives orders that only the relay may give an endpoint.
-TEST(header_dialect, withholds_keys_and_forged_fields) {
+// A caller may forge the name of a team or fields by which only the relay may control an endpoint. Neither
+// these nor the caller's key may reach the endpoint.
+TEST(header_dialect, does_not_forward_keys_and_forged_fields) {
     const header_dialect dialect;
     dispatch_terms terms;
     terms.time_left = milliseconds(900);
@@ -249,7 +250,7 @@
     EXPECT_EQ(message.substr(message.size() - 8), "\r\n\r\nbody");
 }
 
-TEST(header_dialect, another_instance_at_the_address_has_not_run_it) {
+TEST(header_dialect, a_misdirected_request_has_not_been_run) {
     const header_dialect dialect;
     EXPECT_TRUE(dialect.read_answer(421, {}).is_not_run);
     EXPECT_FALSE(dialect.read_answer(503, {}).is_not_run);
@@ -266,7 +267,7 @@
     return header_dialect().read_answer(200, headers).says.rate_limit;
 }
 
-TEST(header_dialect, a_rate_limit_is_a_decimal_number_and_the_strictest_binds) {
+TEST(header_dialect, a_rate_limit_is_a_decimal_number_and_the_strictest_applies) {
     EXPECT_EQ(limit_in({"1.7"}), 1.7);
     EXPECT_EQ(limit_in({"0"}), 0.0);
     EXPECT_EQ(limit_in({"12", "3", "x"}), 3.0);
@@ -275,7 +276,7 @@
     }
 }
 
-TEST(header_dialect, an_answer_says_that_its_endpoint_leaves) {
+TEST(header_dialect, decodes_that_an_endpoint_is_leaving) {
     for (const char* value : {"1", "0", "", "yes"}) {
         header_list headers;
         headers.add("Server-Leaving", value);
@@ -285,8 +286,8 @@
     EXPECT_FALSE(header_dialect().read_answer(200, {}).says.is_leaving);
 }
 
-/** \return the back-off in ms that an answer with \p status and these values of Retry-After asks for; -1:
- * none */
+/** \return the backoff in ms for a response with \p status and these values of Retry-After; -1 if none is
+ * requested */
 double back_off_in(int status, const std::vector<std::string>& values) {
     header_list headers;
     headers.add("Date", "Thu, 03 Dec 2026 09:00:00 GMT");
@@ -297,7 +298,7 @@
     return back_off ? to_ms(*back_off) : -1;
 }
 
-TEST(header_dialect, a_refusal_says_for_how_long_the_endpoint_wants_nothing) {
+TEST(header_dialect, decodes_the_backoff_that_a_refusal_requests) {
     EXPECT_EQ(back_off_in(503, {"3"}), 3000);
     EXPECT_EQ(back_off_in(429, {"0.25"}), 250);
     EXPECT_EQ(back_off_in(503, {"1", "4", "2"}), 4000);
@@ -309,7 +310,7 @@
     }
 }
 
-RC_GTEST_PROP(header_dialect, any_header_values_are_read,
+RC_GTEST_PROP(header_dialect, accepts_any_header_values,
               (std::string counts, std::string prompt, std::string number)) {
     const header_dialect dialect;
     (void)dialect.read_request(request_with({{"X-Token-Counts", counts},
@@ -318,9 +319,9 @@
                                              {"Authorization", counts}}));
 }
 
-/** A store over HTTP that answers every call alike and keeps what it was asked. */
-struct recorded_store {
-    recorded_store(int status, const std::string& body)
+/** A store over HTTP that gives every call the same response and records the requests. */
+struct recording_store {
+    recording_store(int status, const std::string& body)
         : server{loop,
                  {"127.0.0.1", 0},
                  http_limits{},
@@ -337,8 +338,8 @@
     store_client client;
 };
 
-TEST(store_client, a_watch_names_its_revision_and_reads_events) {
-    recorded_store store(
+TEST(store_client, a_watch_sends_its_revision_and_decodes_events) {
+    recording_store store(
         200, R"({"events":[{"removed":true,"object":{"metadata":{"name":"a","revision":9}}}],"at":9})");
     std::optional<store_result<object_events>> result;
     store.client.watch("servers", 5, milliseconds(10), [&](const auto& answer) {
@@ -354,14 +355,14 @@
     EXPECT_EQ(store.requests[0].parameter("watch"), "5");
 }
 
-TEST(store_client, statuses_tell_failures_apart) {
+TEST(store_client, maps_statuses_to_failures) {
     const std::pair<int, store_failure> cases[] = {{404, store_failure::missing},
                                                    {409, store_failure::conflict},
                                                    {410, store_failure::history_gone},
                                                    {429, store_failure::refused},
                                                    {503, store_failure::refused}};
     for (const auto& [status, expected] : cases) {
-        recorded_store store(status, "{}");
+        recording_store store(status, "{}");
         std::optional<store_result<stored_object>> result;
         store.client.replace_status("rollouts", "pool", 3, json::object(), [&](const auto& answer) {
             result = answer;
@@ -373,8 +374,8 @@
     }
 }
 
-TEST(store_client, a_status_is_written_at_its_revision) {
-    recorded_store store(200, R"({"metadata":{"name":"pool","revision":8}})");
+TEST(store_client, writes_a_status_with_its_revision) {
+    recording_store store(200, R"({"metadata":{"name":"pool","revision":8}})");
     store.client.replace_status("rollouts", "pool", 3, {{"state", "running"}},
                                 [&](const auto&) { store.loop.stop(); });
     store.loop.run();
--- a/test/store_test.cpp
+++ b/test/store_test.cpp
@@ -8,7 +8,7 @@
 namespace laurelhoist {
 namespace {
 
-/** A store whose answers the test gives by hand. */
+/** A store that records list and watch calls, which the test completes explicitly. */
 class scripted_store : public object_store {
 public:
     struct list_call {
@@ -70,7 +70,8 @@
         done(events);
         settle();
     }
-    /** Lets the next call go out, which follows news after a moment. */
+    /** Runs the loop for 1 ms, so that the next call is made; after changes it is posted with a delay of 0.
+     */
     void settle() {
         loop.after(milliseconds(1), [this] { loop.stop(); });
         loop.run();
@@ -85,7 +86,7 @@
     int histories_gone = 0;
 };
 
-TEST(object_watch, lists_every_page_and_follows_from_the_first) {
+TEST(object_watch, lists_all_pages_and_follows_from_the_first) {
     watch_fixture copy;
     copy.answer_list(object_page{{object("a", 3)}, true, 7});
     ASSERT_EQ(copy.store.lists.size(), 1U);
@@ -96,9 +97,9 @@
     EXPECT_EQ(copy.store.watches.front().revision, 7);
 }
 
-// An operator withdraws a key and the store confirms it. An answer that was given before, and was long on its
-// way, arrives after; were it taken, the key would work again on this host.
-TEST(object_watch, an_older_object_never_replaces_a_newer_one) {
+// Guards against a delayed response restoring an old object: if it replaced the newer one, a key that an
+// operator has withdrawn would be accepted again by this host.
+TEST(object_watch, ignores_an_event_older_than_the_object_held) {
     watch_fixture copy;
     copy.answer_list(object_page{{object("main", 5)}, false, 5});
     copy.answer_watch(object_events{{{object("main", 9), false}}, 9});
@@ -106,9 +107,9 @@
     EXPECT_EQ(copy.held.at("main").revision, 9);
 }
 
-// The store drops its history and then answers a listing from before the newest change. Callers of this host
-// would see the old configuration come back.
-TEST(object_watch, a_listing_that_lags_behind_what_is_held_changes_nothing) {
+// Guards against a stale listing: after dropping its history, the store may return a listing from before the
+// latest change, which would restore the old configuration on this host.
+TEST(object_watch, ignores_a_listing_older_than_the_copy) {
     watch_fixture copy;
     copy.answer_list(object_page{{object("main", 9)}, false, 9});
     copy.answer_watch(store_failure::history_gone);
@@ -118,9 +119,9 @@
     EXPECT_EQ(copy.store.watches.front().revision, 9);
 }
 
-// A host starts and takes a cheap listing, from which an endpoint that has left since is not yet missing.
-// What it then follows must bring the removal, and a copy of a peer that is newer must go before the listing.
-TEST(object_watch, a_listing_that_may_lag_is_made_good_by_what_follows) {
+// A stale listing may still contain an endpoint that has left. The watch must follow from the revision of the
+// copy, so that the removal arrives, and a newer copy from a peer must take precedence over the listing.
+TEST(object_watch, a_stale_listing_does_not_replace_a_newer_copy_from_a_peer) {
     watch_fixture copy;
     copy.store.lists.clear();
     copy.watch.pause();
@@ -129,13 +130,13 @@
     ASSERT_TRUE(copy.watch.take_copy({{"a", object("a", 8)}}, 8));
     copy.answer_list(object_page{{object("a", 3), object("b", 4)}, false, 5});
     EXPECT_EQ(copy.held.size(), 1U);
-    EXPECT_TRUE(copy.store.watches.empty()) << "it is paused";
+    EXPECT_TRUE(copy.store.watches.empty()) << "a paused watch makes no calls";
     copy.watch.resume();
     ASSERT_EQ(copy.store.watches.size(), 1U);
     EXPECT_EQ(copy.store.watches.front().revision, 8);
 }
 
-TEST(object_watch, a_removed_object_is_forgotten) {
+TEST(object_watch, removes_an_object_on_a_removal_event) {
     watch_fixture copy;
     copy.answer_list(object_page{{object("a", 1), object("b", 2)}, false, 2});
     copy.answer_watch(object_events{{{object("a", 3), true}}, 3});
@@ -143,7 +144,7 @@
     EXPECT_EQ(copy.held.count("b"), 1U);
 }
 
-TEST(object_watch, a_lost_store_is_told_once_and_so_is_its_return) {
+TEST(object_watch, reports_loss_and_return_of_the_store_once_each) {
     watch_fixture copy;
     copy.answer_list(object_page{{object("a", 1)}, false, 1});
     copy.answer_watch(store_failure::unanswered);
@@ -155,8 +156,8 @@
     EXPECT_EQ(copy.reachability, std::vector<bool>({true, false}));
 }
 
-// A host is cut off, and the cut heals. Its first call waited two seconds for news before the store's return
-// was known; endpoints that had left meanwhile were kept that much longer and got new requests.
+// Guards against noticing the return of the store late: if the first call after a partition waits two seconds
+// for changes, endpoints that have left are kept for that much longer and receive new requests.
 TEST(object_watch, the_first_call_after_a_failure_does_not_wait) {
     watch_fixture copy;
     copy.answer_list(object_page{{object("a", 1)}, false, 1});
@@ -170,9 +171,9 @@
     EXPECT_EQ(copy.store.watches.back().wait, seconds(2));
 }
 
-// On a large fleet most hosts go by the copies of a few. Each change in the store raises its revision for
-// every kind; the whole configuration was copied again with each endpoint that came or went.
-TEST(object_watch, a_copy_counts_by_its_last_change) {
+// On a large fleet most hosts use the copies of a few. Each change in the store raises the revision for every
+// kind, so comparing copies by revision would transfer the whole configuration whenever an endpoint changes.
+TEST(object_watch, compares_copies_by_their_last_change) {
     watch_fixture copy;
     copy.answer_list(object_page{{object("a", 1)}, false, 5});
     copy.answer_watch(object_events{{}, 9});
@@ -193,10 +194,10 @@
     EXPECT_EQ(copy.store.watches.size(), 1U);
 }
 
-// A host reads the store itself for a moment while it is cut off, and stops again. The call that was under
-// way fails a second later; the host took the store for lost, never looked again, and went on sending
-// requests to endpoints that had left, until it was restarted.
-TEST(object_watch, what_fails_after_a_pause_says_nothing_of_the_store) {
+// A call that is in progress when the watch is paused may fail afterwards. If that marked the store as lost,
+// no later call would correct it, and the host would send requests to endpoints that have left until
+// restarted.
+TEST(object_watch, ignores_a_failure_after_a_pause) {
     watch_fixture copy;
     copy.answer_list(object_page{{object("a", 1)}, false, 1});
     copy.watch.pause();
@@ -210,9 +211,9 @@
     EXPECT_EQ(copy.reachability, std::vector<bool>({true}));
 }
 
-// The store is away for seconds. Of three watches one looks for its return; the others rest long, and are
-// woken.
-TEST(object_watch, one_that_rests_can_be_woken) {
+// While the store is unreachable, one of three watches checks for its return and the others back off for
+// long. When it returns, restart_call must end their backoff.
+TEST(object_watch, restart_call_ends_the_backoff) {
     watch_fixture copy;
     copy.answer_list(object_page{{object("a", 1)}, false, 1});
     copy.watch.set_max_backoff(seconds(60));
@@ -221,12 +222,12 @@
     ASSERT_EQ(copy.store.watches.size(), 1U);
     copy.loop.after(milliseconds(120), [&] { copy.loop.stop(); });
     copy.loop.run();
-    EXPECT_EQ(copy.store.watches.size(), 1U) << "the rest that was ended asks once more";
+    EXPECT_EQ(copy.store.watches.size(), 1U) << "the timer of the ended backoff makes another call";
 }
 
-// Something between this host and the store has lost track of one connection; another still works. The call
-// on the first would wait for its whole time. Its answer, should it come, must not count twice.
-TEST(object_watch, asking_again_leaves_the_answer_of_the_call_before_out) {
+// A device on the path to the store may drop its state of one connection while another works, and the call on
+// the first waits for its whole timeout. Its response, if it arrives after restart_call, must be ignored.
+TEST(object_watch, restart_call_ignores_the_response_of_the_earlier_call) {
     watch_fixture copy;
     copy.answer_list(object_page{{object("a", 1)}, false, 1});
     copy.watch.restart_call();
@@ -237,9 +238,9 @@
     EXPECT_EQ(copy.held.at("a").revision, 3);
 }
 
-// The store drops its history, and one watch is told. That of the roll-outs went on waiting for eight seconds
-// in which it heard nothing: the order of a roll-out was seen eight seconds late.
-TEST(object_watch, listing_again_leaves_a_deaf_call_behind) {
+// When the store drops its history, only one watch may be notified. Guards against the watch of roll-outs
+// waiting on without receiving changes: the order of a roll-out was noticed eight seconds late.
+TEST(object_watch, relist_ignores_the_response_of_the_call_in_progress) {
     watch_fixture copy;
     copy.answer_list(object_page{{object("a", 1)}, false, 1});
     copy.watch.relist();
@@ -250,9 +251,9 @@
     EXPECT_EQ(copy.store.watches.back().revision, 4);
 }
 
-// Before a store drops its history, its watches may hear nothing of changes for a second. An empty answer
-// that came early, or that is taken for more than it proves, would keep a withdrawn key alive.
-TEST(object_watch, an_empty_answer_that_came_early_proves_only_its_sending) {
+// For a second before the store drops its history, watches may miss changes. If an empty response that
+// arrives early confirmed more than the time of the call, a withdrawn key would be accepted for too long.
+TEST(object_watch, an_early_empty_response_confirms_only_the_time_of_the_call) {
     watch_fixture copy;
     copy.answer_list(object_page{{object("a", 1)}, false, 1});
     const time_point before = monotonic_now();
@@ -261,10 +262,10 @@
     EXPECT_LE(*copy.confirmed, before);
 }
 
-// The store goes away for everybody. Hosts that had all asked in step were all confirmed at the same moment,
-// the oldest possible one, so that no peer could vouch for another and every caller was refused a second
-// sooner.
-TEST(object_watch, hosts_with_unlike_seeds_wait_for_unlike_times) {
+// Guards against hosts that call in step: when the store becomes unreachable for all, they were all last
+// confirmed at the same, oldest possible time. No peer then has a fresher confirmation, and callers were
+// refused a second sooner.
+TEST(object_watch, different_jitter_seeds_give_different_waits) {
     std::set<duration::rep> waits;
     for (std::uint64_t seed = 1; seed <= 8; ++seed) {
         event_loop loop;
--- a/test/transport_test.cpp
+++ b/test/transport_test.cpp
@@ -1,5 +1,5 @@
 /** \file
- * The transport over real loopback sockets; the system chooses the ports.
+ * Tests the transport over real loopback sockets, on ports that the system chooses.
  */
 #include "transport/transport.h"
 
@@ -12,7 +12,8 @@
 
 const socket_address any_port{"127.0.0.1", 0};
 
-/** A server, a client and a loop that ends when the test is done, or after a generous time. */
+/** A server and a client on one loop, which a test stops when it is done; it stops after 30 s at the latest.
+ */
 class http_pair : public ::testing::Test {
 protected:
     void serve(const http_limits& limits, http_server::handler handler) {
@@ -29,7 +30,7 @@
         loop.run();
         return answer;
     }
-    /** Sends raw bytes on a connection of its own and returns what comes until the other side closes. */
+    /** Sends raw bytes on a new connection. \return what the server sends until it closes the connection */
     std::string send_raw(const std::string& bytes) {
         std::string got;
         boost::asio::ip::tcp::socket socket(loop.context());
@@ -48,7 +49,7 @@
 
 } // namespace
 
-TEST_F(http_pair, a_request_and_its_answer) {
+TEST_F(http_pair, transfers_a_request_and_its_response) {
     serve({}, [](const http_request& request, const std::shared_ptr<http_responder>& responder) {
         responder->reply(200, {{"X-Path", request.path}},
                          request.parameter("a") + request.header("x-b") + request.body);
@@ -64,7 +65,7 @@
     EXPECT_EQ(answer.header("x-path"), "/p q");
 }
 
-TEST_F(http_pair, an_oversized_body_is_refused_with_its_remedy) {
+TEST_F(http_pair, refuses_an_oversized_body_with_a_remedy) {
     http_limits limits;
     limits.body_bytes = 1000;
     bool was_handled = false;
@@ -81,15 +82,16 @@
     EXPECT_FALSE(was_handled);
 }
 
-TEST_F(http_pair, garbage_gets_an_error_and_runs_nothing) {
+TEST_F(http_pair, answers_invalid_http_with_an_error_and_does_not_handle_it) {
     bool was_handled = false;
     serve({}, [&](const http_request&, const std::shared_ptr<http_responder>&) { was_handled = true; });
     EXPECT_NE(send_raw("THIS IS NOT HTTP\r\n\r\n").find("400"), std::string::npos);
     EXPECT_FALSE(was_handled);
 }
 
-// A caller sends half a request and falls silent. It is cut off after the reading time; others go on.
-TEST_F(http_pair, a_slow_caller_is_cut_off) {
+// A caller that sends part of a request and stalls must be disconnected after the read timeout; otherwise it
+// would occupy a connection indefinitely.
+TEST_F(http_pair, disconnects_a_slow_caller) {
     http_limits limits;
     limits.read_time = milliseconds(200);
     bool was_handled = false;
@@ -98,7 +100,7 @@
     EXPECT_FALSE(was_handled);
 }
 
-TEST_F(http_pair, a_stream_arrives_piece_by_piece) {
+TEST_F(http_pair, delivers_a_stream_piece_by_piece) {
     serve({}, [this](const http_request&, const std::shared_ptr<http_responder>& responder) {
         responder->begin_stream(200, {});
         responder->write("one ");
@@ -118,9 +120,9 @@
     EXPECT_EQ(pieces, (std::vector<std::string>{"one ", "two"}));
 }
 
-// The other side takes the request and says nothing for good, as happens when something between the two
-// has lost track of the connection. No error ever comes by itself.
-TEST_F(http_pair, silence_is_told_apart_from_failure_and_from_not_sent) {
+// A server may accept a request and never respond, as happens when a device on the path drops its state of
+// the connection. No error is ever reported then, so only the timeout ends the call.
+TEST_F(http_pair, distinguishes_a_timeout_from_a_failure_and_from_not_sent) {
     std::vector<std::shared_ptr<http_responder>> kept;
     serve({}, [&](const http_request& request, const std::shared_ptr<http_responder>& responder) {
         request.path == "/cut" ? responder->abort() : kept.push_back(responder);
@@ -142,10 +144,10 @@
     EXPECT_EQ(answer.what, http_answer::result::not_sent);
 }
 
-// A host with a link of 10 Mbit/s reads a configuration of a megabyte. It takes longer than the silence after
-// which a connection counts as lost; given up half-way and begun anew, it never came, and callers got the old
-// routes.
-TEST_F(http_pair, a_large_answer_may_take_longer_than_a_silence) {
+// Reading a configuration of a megabyte over 10 Mbit/s takes longer than the silence after which a connection
+// is considered lost. If the call were aborted and repeated each time, it would never complete, and callers
+// would keep the old routes.
+TEST_F(http_pair, a_large_response_may_take_longer_than_the_timeout) {
     constexpr int pieces = 6;
     serve({}, [this](const http_request&, const std::shared_ptr<http_responder>& responder) {
         responder->begin_stream(200, {});
@@ -167,7 +169,7 @@
     EXPECT_EQ(answer.body.size(), pieces * std::string("piece").size());
 }
 
-TEST_F(http_pair, a_caller_that_goes_away_is_noticed) {
+TEST_F(http_pair, notices_the_disconnect_of_a_caller) {
     bool is_gone = false;
     serve({}, [&](const http_request&, const std::shared_ptr<http_responder>& responder) {
         responder->on_disconnect([&] {
@@ -183,9 +185,9 @@
     EXPECT_TRUE(is_gone);
 }
 
-TEST(link, messages_both_ways_and_the_end) {
+TEST(link, carries_messages_both_ways_and_reports_the_close) {
     event_loop loop;
-    // A port that was free a moment ago; the link library wants a number.
+    // link_server cannot report a port chosen by the system, so a port that was just free is used.
     boost::asio::ip::tcp::acceptor probe(loop.context(), {boost::asio::ip::make_address("127.0.0.1"), 0});
     const std::uint16_t port = probe.local_endpoint().port();
     probe.close();
