--- a/src/store/object_watch.h
+++ b/src/store/object_watch.h
@@ -21,10 +21,8 @@
 
 /** Wait times and delays of the calls with which a kind of object is watched. */
 struct watch_timing {
-    duration
-        wait{}; ///< how long one watch call waits for changes, roughly the longest time between confirmations
-    duration batch_delay{}; ///< between a call that returned changes and the next, so that a series costs few
-                            ///< calls
+    duration wait{};        ///< wait of a watch call for changes; roughly the interval of confirmations
+    duration batch_delay{}; ///< delay after a call that returned changes, so that a series costs few calls
     /// Delay after a failed call, from the fourth consecutive failure on.
     duration max_backoff = milliseconds(250);
     /// Seed of the jitter, which varies the wait of each call by up to a quarter. Without it, hosts whose
@@ -115,8 +113,7 @@
     time_point listing_started_at_;
     listing_freshness listing_freshness_ = listing_freshness::newest; ///< of the listing in progress
     int failures_ = 0;
-    std::uint64_t current_call_ =
-        0; ///< number of the call or backoff in progress; results of earlier ones are ignored
+    std::uint64_t current_call_ = 0; ///< call or backoff in progress; results of earlier ones are ignored
     bool is_listed_ = false;
     bool is_reachable_ = true;
     bool is_paused_ = false;
--- a/src/transport/datagram.cpp
+++ b/src/transport/datagram.cpp
@@ -67,8 +67,7 @@
     if (target == nullptr) {
         return;
     }
-    boost::system::error_code
-        dropped; // Datagrams may be lost in transit too, so callers do not rely on any one.
+    boost::system::error_code dropped; // Datagrams may be lost in transit too, so none is relied on.
     state_->socket.send_to(asio::buffer(bytes), {asio::ip::make_address(target->host), target->port}, 0,
                            dropped);
     state_->sent += dropped ? 0 : bytes.size();
