--- a/src/host/entry_host.cpp
+++ b/src/host/entry_host.cpp
@@ -43,7 +43,7 @@
 }
 
 watch_timing spread_timing(watch_timing timing, const std::string& host) {
-    timing.spread_seed = placement_hash("watch/" + host) | 1;
+    timing.jitter_seed = placement_hash("watch/" + host) | 1;
     return timing;
 }
 
@@ -134,7 +134,7 @@
     for (object_watch* watch : watches()) {
         watch->pause(); // After its first listing, until it is known which hosts read.
         // The configuration must be the newest: it is also the first confirmation that API keys are valid.
-        watch->start(watch == &config_watch_ ? first_listing::newest : first_listing::lagging);
+        watch->start(watch == &config_watch_ ? listing_freshness::newest : listing_freshness::lagging);
     }
     loop_.every(gossip_interval, [this] { gossip_round(); });
     loop_.every(maintenance_interval, [this] {
@@ -203,7 +203,7 @@
     } else {
         for (object_watch* watch : watches()) {
             if (watch != &config_watch_) {
-                watch->ask_again();
+                watch->restart_call();
             }
         }
     }
@@ -212,7 +212,7 @@
 void entry_host::on_history_gone() {
     history_gone_at_ = monotonic_now();
     for (object_watch* watch : watches()) {
-        watch->list_again(); // Has no effect on the watch that reported this, which is already listing.
+        watch->relist(); // Has no effect on the watch that reported this, which is already listing.
     }
 }
 
@@ -289,7 +289,7 @@
     }
     if (ordered != evacuated_) {
         log_info("evacuations_in_force",
-                 {{"domains", ordered.domains}, {"revision", evacuation_watch_.changed_at()}});
+                 {{"domains", ordered.domains}, {"revision", evacuation_watch_.last_changed_revision()}});
         evacuated_ = ordered;
         relay_.state().endpoints.allowance().set_evacuated(evacuated_, monotonic_now());
         refresh_endpoints();
--- a/src/host/entry_host.h
+++ b/src/host/entry_host.h
@@ -154,7 +154,7 @@
     /// The copy of one kind of object that was last encoded for peers.
     struct encoded_copy {
         std::int64_t since = 0;      ///< revision that the requesting host held
-        std::int64_t changed_at = 0; ///< \ref object_watch::changed_at when it was encoded
+        std::int64_t last_changed_revision = 0; ///< \ref object_watch::changed_at when it was encoded
         std::string bytes;
     };
     const std::string& copy_since(const object_watch& watch, const std::string& kind, std::int64_t since);
--- a/src/host/entry_host_copies.cpp
+++ b/src/host/entry_host_copies.cpp
@@ -44,7 +44,7 @@
         }
     }
     const json body = {
-        {"revision", watch.changed_at()}, {"grace_ms", to_ms(grace)}, {"names", names}, {"objects", objects}};
+        {"revision", watch.last_changed_revision()}, {"grace_ms", to_ms(grace)}, {"names", names}, {"objects", objects}};
     std::string bytes;
     json::to_cbor(body, bytes);
     return bytes;
@@ -82,8 +82,8 @@
     const reading_mode mode = choose_reading_mode(inputs);
     const bool is_large = is_large_fleet(now);
     config_watch_.set_wait(is_large ? reader_config_wait : config_wait);
-    endpoint_watch_.set_gathering(is_large ? reader_batch_delay : endpoint_batch_delay);
-    rollout_watch_.set_gathering(is_large ? reader_batch_delay : rollout_batch_delay);
+    endpoint_watch_.set_batch_delay(is_large ? reader_batch_delay : endpoint_batch_delay);
+    rollout_watch_.set_batch_delay(is_large ? reader_batch_delay : rollout_batch_delay);
     if (mode == reading_) {
         return;
     }
@@ -96,7 +96,7 @@
     if (mode == reading_mode::copies) {
         roster_.on_reading_ended();
     }
-    config_watch_.set_longest_rest(mode == reading_mode::all ? reader_max_backoff : non_reader_max_backoff);
+    config_watch_.set_max_backoff(mode == reading_mode::all ? reader_max_backoff : non_reader_max_backoff);
     for (object_watch* watch : watches()) {
         const bool is_wanted = watch == &config_watch_ && mode != reading_mode::copies;
         if (mode == reading_mode::all || is_wanted) {
@@ -112,8 +112,8 @@
     if (!is_large_fleet(now)) {
         return;
     }
-    const copy_notice notice{config_watch_.changed_at(), endpoint_watch_.changed_at(),
-                             rollout_watch_.changed_at(), evacuation_watch_.changed_at()};
+    const copy_notice notice{config_watch_.last_changed_revision(), endpoint_watch_.last_changed_revision(),
+                             rollout_watch_.last_changed_revision(), evacuation_watch_.last_changed_revision()};
     // Changes are also sent directly: by gossip rounds alone, the simultaneous departure of 112 endpoints
     // took 1.3 s to reach the last host, and requests were sent to them meanwhile.
     send_to_others(
@@ -126,7 +126,7 @@
 
 void entry_host::note_config_revision(std::int64_t revision) {
     newest_known_config_ = std::max(newest_known_config_, revision);
-    if (config_watch_.changed_at() >= newest_known_config_) {
+    if (config_watch_.last_changed_revision() >= newest_known_config_) {
         behind_since_.reset();
     } else if (!behind_since_) {
         behind_since_ = monotonic_now();
@@ -139,7 +139,7 @@
         return; // This host reads changes from the store directly.
     }
     const auto fetch_if_newer = [&](object_watch& watch, std::int64_t revision, const std::string& kind) {
-        if (revision > watch.changed_at()) {
+        if (revision > watch.last_changed_revision()) {
             fetch_copy(from, watch, kind);
         }
     };
@@ -167,9 +167,9 @@
                                           std::int64_t since) {
     const duration grace = roster_.grace_left(monotonic_now());
     encoded_copy& held = encoded_copies_[kind];
-    const bool is_same = held.since == since && held.changed_at == watch.changed_at();
+    const bool is_same = held.since == since && held.last_changed_revision == watch.last_changed_revision();
     if (!is_same || grace > duration::zero() || held.bytes.empty()) {
-        held = {since, watch.changed_at(), encode_copy(watch, since, grace)};
+        held = {since, watch.last_changed_revision(), encode_copy(watch, since, grace)};
     }
     return held.bytes;
 }
@@ -181,7 +181,7 @@
     }
     http_call call;
     call.address = *value_of(address);
-    call.target = "/copy?kind=" + kind + "&since=" + std::to_string(watch.changed_at());
+    call.target = "/copy?kind=" + kind + "&since=" + std::to_string(watch.last_changed_revision());
     call.timeout = copy_timeout;
     call.connect_timeout = copy_timeout / 2;
     call.is_large = true;
--- a/src/host/entry_host_rollouts.cpp
+++ b/src/host/entry_host_rollouts.cpp
@@ -45,7 +45,7 @@
     }
     const time_point now = monotonic_now();
     const bool may_have_missed_orders = history_gone_at_ && now - *history_gone_at_ < relisting_time;
-    rollouts_.set_orders(orders, now, may_have_missed_orders ? deaf_time : duration::zero());
+    rollouts_.set_orders(orders, now, may_have_missed_orders ? event_loss_window : duration::zero());
     send_copy_notice(notice_scope::change);
 }
 
--- a/src/transport/datagram.cpp
+++ b/src/transport/datagram.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr std::size_t largest_datagram = 64 << 10;
+constexpr std::size_t max_datagram_bytes = 64 << 10;
 
 } // namespace
 
@@ -37,7 +37,7 @@
 
     udp::socket socket;
     handler on_received;
-    std::array<char, largest_datagram> incoming{};
+    std::array<char, max_datagram_bytes> incoming{};
     udp::endpoint sender;
     std::uint64_t sent = 0;
 };
@@ -51,8 +51,7 @@
         state_->socket.non_blocking(true);
     } catch (const std::exception& failure) {
         refuse_setting("datagram address", address.host + ":" + std::to_string(address.port),
-                       std::string("cannot be bound (") + failure.what() +
-                           "); give a free port of this host");
+                       std::string("cannot be bound (") + failure.what() + "); use a free port of this host");
     }
     state_->receive();
 }
@@ -68,7 +67,7 @@
     if (target == nullptr) {
         return;
     }
-    boost::system::error_code dropped; // A datagram may be lost on its way as well; nothing depends on one.
+    boost::system::error_code dropped; // Datagrams may be lost in transit too, so none is relied on.
     state_->socket.send_to(asio::buffer(bytes), {asio::ip::make_address(target->host), target->port}, 0,
                            dropped);
     state_->sent += dropped ? 0 : bytes.size();
--- a/src/transport/http_server.cpp
+++ b/src/transport/http_server.cpp
@@ -84,7 +84,7 @@
     return request;
 }
 
-/** One connection of a caller; answers one request after another. */
+/** One connection of a caller; serves its requests one after another. */
 template <class State>
 class server_session : public http_responder, public std::enable_shared_from_this<server_session<State>> {
 public:
@@ -106,8 +106,8 @@
         is_first_ = false;
         is_answered_ = false;
         is_streaming_ = false;
-        // The first byte ends the idle time and starts the reading time: a caller that sends a body
-        // byte by byte is cut off, one that keeps its connection between requests is not.
+        // The first byte of a request ends the idle timeout and starts the read timeout: a caller that sends
+        // a body byte by byte is disconnected, one that keeps its connection open between requests is not.
         auto self = this->shared_from_this();
         if (buffer_.size() > 0) {
             read_request();
@@ -173,12 +173,12 @@
         }
     }
 
-    void cut() override {
+    void abort() override {
         beast::error_code ignored;
         stream_.socket().close(ignored);
     }
 
-    void on_gone(std::function<void()> work) override { gone_ = std::move(work); }
+    void on_disconnect(std::function<void()> work) override { on_disconnect_ = std::move(work); }
 
 private:
     void read_request() {
@@ -206,7 +206,7 @@
         } else if (!failure) {
             stream_.expires_never();
             const http_request request = to_request(parser_->get());
-            gone_ = nullptr;
+            on_disconnect_ = nullptr;
             watch_for_close();
             server_->on_request(request, this->shared_from_this());
         }
@@ -216,8 +216,8 @@
         reply(http_status(failure.kind), {}, to_error_body(failure, "").dump());
     }
 
-    // Without reading, a caller that goes away would only be noticed by a failing write, after the work
-    // has been paid for.
+    // Without a pending read, a disconnect of the caller would be noticed only by a failing write, after the
+    // work for the request has been done.
     void watch_for_close() {
         auto self = this->shared_from_this();
         stream_.socket().async_wait(tcp::socket::wait_read, [self](beast::error_code failure) {
@@ -229,17 +229,17 @@
             const std::size_t bytes = self->stream_.socket().receive(asio::buffer(&byte, 1),
                                                                      tcp::socket::message_peek, peek_failure);
             if (bytes == 0) {
-                self->tell_gone();
+                self->notify_disconnect();
             }
         });
     }
 
     bool is_complete() const { return is_answered_ && !is_streaming_; }
 
-    void tell_gone() {
-        if (gone_) {
-            const std::function<void()> work = std::move(gone_);
-            gone_ = nullptr;
+    void notify_disconnect() {
+        if (on_disconnect_) {
+            const std::function<void()> work = std::move(on_disconnect_);
+            on_disconnect_ = nullptr;
             work();
         }
     }
@@ -257,7 +257,7 @@
         asio::async_write(stream_, asio::buffer(outgoing_.front()),
                           [self](beast::error_code failure, std::size_t) {
                               if (failure) {
-                                  self->tell_gone();
+                                  self->notify_disconnect();
                                   return;
                               }
                               self->outgoing_.pop_front();
@@ -272,13 +272,13 @@
     }
 
     void on_answer_written(beast::error_code failure) {
-        gone_ = nullptr;
+        on_disconnect_ = nullptr;
         beast::error_code ignored;
         if (failure || !keeps_alive_) {
             stream_.socket().shutdown(tcp::socket::shutdown_send, ignored);
             return;
         }
-        stream_.socket().cancel(ignored); // Ends the watch for a close.
+        stream_.socket().cancel(ignored); // Cancels watch_for_close.
         auto self = this->shared_from_this();
         asio::post(stream_.get_executor(), [self] { self->read_next(); });
     }
@@ -288,7 +288,7 @@
     beast::flat_buffer buffer_;
     std::optional<http::request_parser<http::string_body>> parser_;
     std::deque<std::string> outgoing_;
-    std::function<void()> gone_;
+    std::function<void()> on_disconnect_;
     bool is_first_ = true;
     bool keeps_alive_ = true;
     bool is_answered_ = false;
@@ -342,8 +342,8 @@
         return std::make_unique<http_server>(loop, address, limits, std::move(on_request));
     } catch (const std::exception& failure) {
         refuse_setting("--" + flag, address.host + ":" + std::to_string(address.port),
-                       std::string("cannot listen there (") + failure.what() +
-                           "); give an address of this host that is free");
+                       std::string("cannot listen on this address (") + failure.what() +
+                           "); use a free address of this host");
     }
 }
 
