--- a/src/base/digest.cpp
+++ b/src/base/digest.cpp
@@ -54,17 +54,17 @@
 std::string base64url_encode(std::string_view text) {
     std::string encoded;
     std::uint32_t bits = 0;
-    int held = 0;
+    int bit_count = 0;
     for (const char c : text) {
         bits = (bits << 8U) | static_cast<unsigned char>(c);
-        held += 8;
-        while (held >= 6) {
-            held -= 6;
-            encoded += base64_alphabet[(bits >> static_cast<unsigned>(held)) & 63U];
+        bit_count += 8;
+        while (bit_count >= 6) {
+            bit_count -= 6;
+            encoded += base64_alphabet[(bits >> static_cast<unsigned>(bit_count)) & 63U];
         }
     }
-    if (held > 0) {
-        encoded += base64_alphabet[(bits << static_cast<unsigned>(6 - held)) & 63U];
+    if (bit_count > 0) {
+        encoded += base64_alphabet[(bits << static_cast<unsigned>(6 - bit_count)) & 63U];
     }
     return encoded;
 }
@@ -72,17 +72,17 @@
 std::string base64url_decode(std::string_view text) {
     std::string decoded;
     std::uint32_t bits = 0;
-    int held = 0;
+    int bit_count = 0;
     for (const char c : text) {
         const std::size_t digit = base64_alphabet.find(c);
         if (digit == std::string_view::npos) {
             return {};
         }
         bits = (bits << 6U) | static_cast<std::uint32_t>(digit);
-        held += 6;
-        if (held >= 8) {
-            held -= 8;
-            decoded += static_cast<char>((bits >> static_cast<unsigned>(held)) & 255U);
+        bit_count += 6;
+        if (bit_count >= 8) {
+            bit_count -= 8;
+            decoded += static_cast<char>((bits >> static_cast<unsigned>(bit_count)) & 255U);
         }
     }
     return decoded;
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -21,28 +21,28 @@
 }
 
 /// Lines that wait for a slow reader; about a second of the busiest load.
-constexpr std::size_t most_buffered_bytes = 256 << 10;
+constexpr std::size_t max_buffered_bytes = 256 << 10;
 /// Written at once when so much is gathered, so that a line costs no system call of its own.
-constexpr std::size_t bytes_per_write = 4 << 10;
+constexpr std::size_t flush_threshold_bytes = 4 << 10;
 /// Routine lines for each second; warnings and errors are not counted against it.
-constexpr std::uint64_t most_routine_lines = 400;
+constexpr std::uint64_t max_info_lines_per_second = 400;
 
 /** Gathers lines and writes them to standard output without blocking. */
 class stdout_sink : public google::LogSink {
 public:
     void send(google::LogSeverity severity, const char*, const char*, int, const struct ::tm*,
               const char* message, std::size_t length) override {
-        if (severity == google::GLOG_INFO && !takes_routine_line()) {
+        if (severity == google::GLOG_INFO && !allow_info_line()) {
             ++dropped_;
             return;
         }
-        if (buffer_.size() + length > most_buffered_bytes) {
+        if (buffer_.size() + length > max_buffered_bytes) {
             ++dropped_;
             return;
         }
         buffer_.append(message, length);
         buffer_ += '\n';
-        if (buffer_.size() >= bytes_per_write || severity != google::GLOG_INFO) {
+        if (buffer_.size() >= flush_threshold_bytes || severity != google::GLOG_INFO) {
             flush();
         }
     }
@@ -62,13 +62,13 @@
     }
 
 private:
-    bool takes_routine_line() {
+    bool allow_info_line() {
         const std::int64_t second = wall_clock_ms() / 1000;
         if (second != second_) {
             second_ = second;
             lines_ = 0;
         }
-        return ++lines_ <= most_routine_lines;
+        return ++lines_ <= max_info_lines_per_second;
     }
 
     std::string buffer_;
@@ -78,8 +78,8 @@
 };
 
 stdout_sink& sink() {
-    static stdout_sink only;
-    return only;
+    static stdout_sink instance;
+    return instance;
 }
 
 std::string to_line(const char* level, const char* event, const json& fields) {
--- a/src/base/mechanisms.cpp
+++ b/src/base/mechanisms.cpp
@@ -31,24 +31,24 @@
 } // namespace
 
 std::optional<mechanisms> without_mechanisms(const std::string& text) {
-    mechanisms made;
+    mechanisms result;
     std::istringstream names(text);
     std::string name;
     while (std::getline(names, name, ',')) {
         const auto found = std::find_if(std::begin(switches), std::end(switches),
-                                        [&](const named_switch& each) { return name == each.name; });
+                                        [&](const named_switch& entry) { return name == entry.name; });
         if (found == std::end(switches)) {
             return std::nullopt;
         }
-        made.*(found->member) = false;
+        result.*(found->member) = false;
     }
-    return made;
+    return result;
 }
 
 std::string mechanism_names() {
     std::string names;
-    for (const named_switch& each : switches) {
-        names += (names.empty() ? "" : ",") + std::string(each.name);
+    for (const named_switch& entry : switches) {
+        names += (names.empty() ? "" : ",") + std::string(entry.name);
     }
     return names;
 }
--- a/src/base/metrics.cpp
+++ b/src/base/metrics.cpp
@@ -89,12 +89,12 @@
     return text.str();
 }
 
-double quantile_of(std::vector<double> values, double share) {
+double quantile_of(std::vector<double> values, double probability) {
     if (values.empty()) {
         return 0;
     }
     std::sort(values.begin(), values.end());
-    const auto rank = static_cast<std::size_t>(std::ceil(share * static_cast<double>(values.size())));
+    const auto rank = static_cast<std::size_t>(std::ceil(probability * static_cast<double>(values.size())));
     return values[std::min(values.size() - 1, rank == 0 ? 0 : rank - 1)];
 }
 
--- a/src/base/metrics.h
+++ b/src/base/metrics.h
@@ -53,7 +53,7 @@
 
 /** \return the \p share quantile of \p values, exactly; 0 if there are none. For reports, where all are kept.
  */
-double quantile_of(std::vector<double> values, double share);
+double quantile_of(std::vector<double> values, double probability);
 
 /** \return this process's processor time in seconds, user and system. */
 double process_cpu_seconds();
--- a/src/base/random.h
+++ b/src/base/random.h
@@ -15,11 +15,11 @@
     explicit random_source(std::uint64_t seed) : engine_{seed} {}
 
     /** \return a number in [0, 1). */
-    double unit() { return std::uniform_real_distribution<double>{0.0, 1.0}(engine_); }
+    double uniform() { return std::uniform_real_distribution<double>{0.0, 1.0}(engine_); }
     /** \return a whole number in [0, \p bound), 0 if \p bound is 0. */
     std::size_t below(std::size_t bound);
     /** \return true with probability \p chance. */
-    bool chance(double probability) { return unit() < probability; }
+    bool chance(double probability) { return uniform() < probability; }
     /** \return an exponentially distributed number with the given mean. */
     double exponential(double mean) { return std::exponential_distribution<double>{1.0 / mean}(engine_); }
     /** \return an identifier of 24 hexadecimal digits after \p prefix. */
--- a/src/bundle/bundle_types.cpp
+++ b/src/bundle/bundle_types.cpp
@@ -51,7 +51,7 @@
     return find_by_name(document.pools, name);
 }
 
-bool names_version(const team_entry& team, const version_name& version) {
+bool may_use_version(const team_entry& team, const version_name& version) {
     return contains(team.ladder, version) || contains(team.allow, version);
 }
 
--- a/src/bundle/bundle_types.h
+++ b/src/bundle/bundle_types.h
@@ -134,6 +134,6 @@
 const service_call* find_call(const service_entry& service, const std::string& path);
 const pool_entry* find_pool(const bundle& document, const std::string& name);
 /** \return whether \p team may use \p version by its ladder or its allowed versions. */
-bool names_version(const team_entry& team, const version_name& version);
+bool may_use_version(const team_entry& team, const version_name& version);
 
 } // namespace laurelhoist
--- a/src/bundle/fleet_head.cpp
+++ b/src/bundle/fleet_head.cpp
@@ -9,8 +9,8 @@
 /** Works on a copy of the head; each command has one member. */
 class head_editor {
 public:
-    head_editor(fleet_head head, const fleet_command& command, const chart& life)
-        : head_{std::move(head)}, command_{command}, life_{life} {}
+    head_editor(fleet_head head, const fleet_command& command, const chart& lifecycle)
+        : head_{std::move(head)}, command_{command}, lifecycle_{lifecycle} {}
 
     outcome<fleet_head> run();
 
@@ -25,24 +25,24 @@
     void sign_off();
     void roll();
     void step();
-    void pause() { move("pause"); }
+    void pause() { apply_event("pause"); }
     void resume();
     void finish();
     void withdraw_bundle();
-    void withdraw_version() { stop_versions(head_.withdrawn); }
+    void withdraw_version() { block_versions(head_.withdrawn); }
     void brake();
     void add_steward();
     void remove_steward();
 
-    void move(const std::string& event);
-    void stop_versions(std::map<version_name, version_stop>& stopped);
+    void apply_event(const std::string& event);
+    void block_versions(std::map<version_name, version_stop>& stopped);
     void record_change();
     void fail(const std::string& message);
     bundle_status& status() { return head_.bundles[command_.bundle_id]; }
 
     fleet_head head_;
     const fleet_command& command_;
-    const chart& life_;
+    const chart& lifecycle_;
     std::optional<error> failure_;
 };
 
@@ -52,16 +52,16 @@
     }
 }
 
-void head_editor::move(const std::string& event) {
+void head_editor::apply_event(const std::string& event) {
     const auto found = head_.bundles.find(command_.bundle_id);
     if (found == head_.bundles.end()) {
         failure_ = error{error_kind::not_found, "there is no bundle \"" + command_.bundle_id +
                                                     "\"; submit it first, or see laurelctl status"};
         return;
     }
-    const outcome<std::string> next = life_.next(found->second.state, event);
-    if (const error* not_possible = error_of(next)) {
-        fail("bundle \"" + command_.bundle_id + "\": " + not_possible->message);
+    const outcome<std::string> next = lifecycle_.next(found->second.state, event);
+    if (const error* refusal = error_of(next)) {
+        fail("bundle \"" + command_.bundle_id + "\": " + refusal->message);
         return;
     }
     found->second.state = *value_of(next);
@@ -74,7 +74,7 @@
         return;
     }
     if (found == head_.bundles.end()) {
-        head_.bundles[command_.bundle_id] = {command_.sha256, life_.initial(), "", -1, 0.0, 0};
+        head_.bundles[command_.bundle_id] = {command_.sha256, lifecycle_.initial(), "", -1, 0.0, 0};
     }
 }
 
@@ -85,7 +85,7 @@
              "; read it again before signing off");
         return;
     }
-    move("sign_off");
+    apply_event("sign_off");
     if (!failure_) {
         status().signed_by = command_.by;
     }
@@ -96,7 +96,7 @@
         fail("bundle \"" + head_.rolling + "\" is under roll-out; finish or withdraw it first");
         return;
     }
-    move("roll");
+    apply_event("roll");
     if (failure_) {
         return;
     }
@@ -114,13 +114,13 @@
         fail("the roll-out has already reached this step");
         return;
     }
-    move("step");
+    apply_event("step");
     status().step = command_.step;
     status().share = command_.share;
 }
 
 void head_editor::resume() {
-    move("resume");
+    apply_event("resume");
     if (failure_) {
         return;
     }
@@ -131,7 +131,7 @@
 }
 
 void head_editor::finish() {
-    move("finish");
+    apply_event("finish");
     if (failure_) {
         return;
     }
@@ -145,7 +145,7 @@
 }
 
 void head_editor::withdraw_bundle() {
-    move("withdraw");
+    apply_event("withdraw");
     if (failure_) {
         return;
     }
@@ -155,7 +155,7 @@
     }
 }
 
-void head_editor::stop_versions(std::map<version_name, version_stop>& stopped) {
+void head_editor::block_versions(std::map<version_name, version_stop>& stopped) {
     if (command_.versions.empty()) {
         fail("no version is named; write it as model@version");
     }
@@ -165,12 +165,12 @@
 }
 
 void head_editor::brake() {
-    stop_versions(head_.braked);
+    block_versions(head_.braked);
     const auto found = head_.bundles.find(head_.rolling);
     if (found == head_.bundles.end()) {
         return;
     }
-    const outcome<std::string> next = life_.next(found->second.state, "brake");
+    const outcome<std::string> next = lifecycle_.next(found->second.state, "brake");
     if (const std::string* state = value_of(next)) {
         found->second.state = *state;
     }
@@ -208,8 +208,8 @@
                              (command_.steward.name.empty() ? "" : " " + command_.steward.name);
     head_.changes.insert(head_.changes.begin(),
                          {head_.revision, command_.by, command_.at_ms, what, command_.nonce});
-    if (head_.changes.size() > kept_changes) {
-        head_.changes.resize(kept_changes);
+    if (head_.changes.size() > max_kept_changes) {
+        head_.changes.resize(max_kept_changes);
     }
 }
 
@@ -240,7 +240,7 @@
     return head_;
 }
 
-error racing_change(const fleet_head& head, const fleet_command& command) {
+error make_conflict_error(const fleet_head& head, const fleet_command& command) {
     std::string other = "another change";
     if (!head.changes.empty()) {
         const change_record& last = head.changes.front();
@@ -254,11 +254,12 @@
 
 } // namespace
 
-outcome<fleet_head> apply_command(const fleet_head& head, const fleet_command& command, const chart& life) {
+outcome<fleet_head> apply_command(const fleet_head& head, const fleet_command& command,
+                                  const chart& lifecycle) {
     if (command.expected_revision != head.revision) {
-        return racing_change(head, command);
+        return make_conflict_error(head, command);
     }
-    return head_editor{head, command, life}.run();
+    return head_editor{head, command, lifecycle}.run();
 }
 
 bool contains_change(const fleet_head& head, const std::string& nonce) {
--- a/src/bundle/fleet_head.h
+++ b/src/bundle/fleet_head.h
@@ -26,7 +26,7 @@
 };
 LAUREL_VALUE_TYPE(change_record, revision, by, at_ms, what, nonce)
 
-/** Where a bundle is in its life (charts/bundle.scxml). */
+/** Where a bundle is in its lifecycle (charts/bundle.scxml). */
 struct bundle_status {
     std::string sha256;
     std::string state;
@@ -57,7 +57,7 @@
 /** What is in force. */
 struct fleet_head {
     std::int64_t revision = 0;
-    std::vector<change_record> changes; ///< the latest first, at most \ref kept_changes
+    std::vector<change_record> changes; ///< the latest first, at most \ref max_kept_changes
     std::map<std::string, bundle_status> bundles;
     std::string established;                        ///< id of the bundle that serves what no roll-out takes
     std::string rolling;                            ///< id of the bundle under roll-out, or empty
@@ -67,7 +67,7 @@
 };
 LAUREL_VALUE_TYPE(fleet_head, revision, changes, bundles, established, rolling, withdrawn, braked, stewards)
 
-constexpr std::size_t kept_changes = 32;
+constexpr std::size_t max_kept_changes = 32;
 
 /** What a command does. */
 enum class command_kind {
@@ -117,9 +117,10 @@
                   reason, step, share, steward)
 
 /** Works out the head after \p command, without side effects.
- * \param life the chart of a bundle's life (charts/bundle.scxml)
+ * \param lifecycle the chart of a bundle's lifecycle (charts/bundle.scxml)
  * \return the next head, or a conflict that shows the other change, or why the command is not possible */
-outcome<fleet_head> apply_command(const fleet_head& head, const fleet_command& command, const chart& life);
+outcome<fleet_head> apply_command(const fleet_head& head, const fleet_command& command,
+                                  const chart& lifecycle);
 
 /** \return whether the write with \p nonce is among the changes that \p head remembers. */
 bool contains_change(const fleet_head& head, const std::string& nonce);
--- a/src/bundle/fleet_view.cpp
+++ b/src/bundle/fleet_view.cpp
@@ -22,7 +22,7 @@
     return needed;
 }
 
-std::vector<const bundle*> fleet_view::active() const {
+std::vector<const bundle*> fleet_view::active_bundles() const {
     std::vector<const bundle*> documents;
     for (const bundle* candidate : {established(), rolling()}) {
         if (candidate != nullptr) {
@@ -33,7 +33,7 @@
 }
 
 const team_entry* fleet_view::team_by_key(const std::string& key_sha256) const {
-    for (const bundle* candidate : active()) {
+    for (const bundle* candidate : active_bundles()) {
         for (const team_entry& team : candidate->teams) {
             if (equal_in_constant_time(team.key_sha256, key_sha256)) {
                 return &team;
@@ -43,18 +43,18 @@
     return nullptr;
 }
 
-bool fleet_view::is_in_rollout(double session_unit) const {
+bool fleet_view::is_in_rollout(double session_hash) const {
     const auto found = head_.bundles.find(head_.rolling);
     if (found == head_.bundles.end() || rolling() == nullptr) {
         return false;
     }
     const bundle_status& status = found->second;
     const bool takes_sessions = status.state == "rolling" || status.state == "paused";
-    return takes_sessions && session_unit < status.share;
+    return takes_sessions && session_hash < status.share;
 }
 
-const bundle* fleet_view::bundle_for(double session_unit) const {
-    return is_in_rollout(session_unit) ? rolling() : established();
+const bundle* fleet_view::bundle_for(double session_hash) const {
+    return is_in_rollout(session_hash) ? rolling() : established();
 }
 
 bool fleet_view::is_stopped(const version_name& version) const {
@@ -65,15 +65,15 @@
     if (is_stopped(version)) {
         return false;
     }
-    const std::vector<const bundle*> documents = active();
+    const std::vector<const bundle*> documents = active_bundles();
     return std::any_of(documents.begin(), documents.end(), [&](const bundle* candidate) {
         const team_entry* entry = find_team(*candidate, team);
-        return entry != nullptr && names_version(*entry, version);
+        return entry != nullptr && may_use_version(*entry, version);
     });
 }
 
 const model_entry* fleet_view::model(const version_name& version) const {
-    for (const bundle* candidate : active()) {
+    for (const bundle* candidate : active_bundles()) {
         if (const model_entry* found = find_model(*candidate, version)) {
             return found;
         }
@@ -82,7 +82,7 @@
 }
 
 const pool_entry* fleet_view::pool(const std::string& name) const {
-    for (const bundle* candidate : active()) {
+    for (const bundle* candidate : active_bundles()) {
         if (const pool_entry* found = find_pool(*candidate, name)) {
             return found;
         }
@@ -91,17 +91,17 @@
 }
 
 std::vector<version_name> fleet_view::versions_under_rollout() const {
-    std::vector<version_name> fresh;
+    std::vector<version_name> added;
     if (rolling() == nullptr) {
-        return fresh;
+        return added;
     }
     for (const model_entry& candidate : rolling()->models) {
         const version_name version = full_name(candidate);
         if (established() == nullptr || find_model(*established(), version) == nullptr) {
-            fresh.push_back(version);
+            added.push_back(version);
         }
     }
-    return fresh;
+    return added;
 }
 
 } // namespace laurelhoist
--- a/src/bundle/fleet_view.h
+++ b/src/bundle/fleet_view.h
@@ -28,11 +28,11 @@
     /** \return the team whose key hashes to \p key_sha256 in the established or rolling bundle, or null. */
     const team_entry* team_by_key(const std::string& key_sha256) const;
 
-    /** \return whether the roll-out has taken the session that hashes to \p session_unit (in [0, 1)).
+    /** \return whether the roll-out has taken the session that hashes to \p session_hash (in [0, 1)).
      * Monotone: a session once taken stays taken while the share grows. */
-    bool is_in_rollout(double session_unit) const;
+    bool is_in_rollout(double session_hash) const;
     /** \return the bundle that serves the session, or null before the first roll-out. */
-    const bundle* bundle_for(double session_unit) const;
+    const bundle* bundle_for(double session_hash) const;
 
     /** \return whether \p version is withdrawn or braked. */
     bool is_stopped(const version_name& version) const;
@@ -46,7 +46,7 @@
     std::vector<version_name> versions_under_rollout() const;
 
 private:
-    std::vector<const bundle*> active() const;
+    std::vector<const bundle*> active_bundles() const;
 
     fleet_head head_;
     std::map<std::string, bundle> documents_;
--- a/src/chart/chart.cpp
+++ b/src/chart/chart.cpp
@@ -35,15 +35,15 @@
 
 std::set<std::string> reachable_states(const chart& definition) {
     std::set<std::string> reached;
-    std::vector<std::string> open{definition.initial()};
-    while (!open.empty()) {
-        const std::string state = open.back();
-        open.pop_back();
+    std::vector<std::string> pending{definition.initial()};
+    while (!pending.empty()) {
+        const std::string state = pending.back();
+        pending.pop_back();
         if (!reached.insert(state).second) {
             continue;
         }
         for (const chart_transition& transition : definition.transitions_of(state)) {
-            open.push_back(transition.target);
+            pending.push_back(transition.target);
         }
     }
     return reached;
--- a/src/ledger/bill_outbox.cpp
+++ b/src/ledger/bill_outbox.cpp
@@ -8,7 +8,7 @@
     entries_.emplace(key_of(record), entry{record, now, {}, {}});
 }
 
-void bill_outbox::on_held(const bill_key& key, const std::string& holder, const std::string& domain) {
+void bill_outbox::on_copy_stored(const bill_key& key, const std::string& holder, const std::string& domain) {
     const auto found = entries_.find(key);
     if (found != entries_.end()) {
         found->second.domain_by_holder[holder] = domain;
@@ -16,9 +16,9 @@
 }
 
 void bill_outbox::on_holder_lost(const std::string& holder) {
-    for (auto& [key, held] : entries_) {
-        held.domain_by_holder.erase(holder);
-        held.sent_at.erase(holder);
+    for (auto& [key, pending] : entries_) {
+        pending.domain_by_holder.erase(holder);
+        pending.sent_at.erase(holder);
     }
 }
 
@@ -29,7 +29,7 @@
 std::size_t bill_outbox::copies(const bill_key& key) const {
     const auto found = entries_.find(key);
     if (found == entries_.end()) {
-        return wanted_bill_copies;
+        return target_bill_copies;
     }
     std::set<std::string> domains;
     for (const auto& [holder, domain] : found->second.domain_by_holder) {
@@ -38,28 +38,28 @@
     return domains.size();
 }
 
-std::size_t bill_outbox::least_copies() const {
-    std::size_t least = wanted_bill_copies;
-    for (const auto& [key, held] : entries_) {
-        least = std::min(least, copies(key));
+std::size_t bill_outbox::min_copies() const {
+    std::size_t fewest = target_bill_copies;
+    for (const auto& [key, pending] : entries_) {
+        fewest = std::min(fewest, copies(key));
     }
-    return least;
+    return fewest;
 }
 
-std::vector<bill_record> bill_outbox::take_unsent(const std::string& holder, time_point now,
-                                                  duration resend_after, duration least_age) {
+std::vector<bill_record> bill_outbox::take_records_to_send(const std::string& holder, time_point now,
+                                                           duration resend_after, duration min_age) {
     std::vector<bill_record> unsent;
-    for (auto& [key, held] : entries_) {
-        const bool is_wanted = copies(key) < wanted_bill_copies && now - held.added >= least_age;
-        if (!is_wanted || held.domain_by_holder.count(holder) > 0) {
+    for (auto& [key, pending] : entries_) {
+        const bool needs_copy = copies(key) < target_bill_copies && now - pending.added >= min_age;
+        if (!needs_copy || pending.domain_by_holder.count(holder) > 0) {
             continue;
         }
-        const auto sent = held.sent_at.find(holder);
-        if (sent != held.sent_at.end() && now - sent->second < resend_after) {
+        const auto sent = pending.sent_at.find(holder);
+        if (sent != pending.sent_at.end() && now - sent->second < resend_after) {
             continue;
         }
-        held.sent_at[holder] = now;
-        unsent.push_back(held.record);
+        pending.sent_at[holder] = now;
+        unsent.push_back(pending.record);
     }
     return unsent;
 }
--- a/src/ledger/bill_outbox.h
+++ b/src/ledger/bill_outbox.h
@@ -11,7 +11,7 @@
 
 namespace laurelhoist {
 
-constexpr std::size_t wanted_bill_copies = 2;
+constexpr std::size_t target_bill_copies = 2;
 
 /** The records of one entry that are not yet known to be in the platform. */
 class bill_outbox {
@@ -19,7 +19,7 @@
     /** Adds a record; nothing happens if its key is already here. */
     void add(const bill_record& record, time_point now);
     /** Notes that the steward \p holder in \p domain holds the record \p key. */
-    void on_held(const bill_key& key, const std::string& holder, const std::string& domain);
+    void on_copy_stored(const bill_key& key, const std::string& holder, const std::string& domain);
     /** Forgets copies that died with the steward \p holder, so that the records are sent again. */
     void on_holder_lost(const std::string& holder);
     /** Notes that the platform holds the record; it is dropped here. */
@@ -29,11 +29,11 @@
     std::size_t copies(const bill_key& key) const;
     bool contains(const bill_key& key) const { return entries_.count(key) > 0; }
     /** \return records that \p holder has not acknowledged, that still want copies, that are at least
-     * \p least_age old, and that were last sent to it \p resend_after ago; marks them as sent now. */
-    std::vector<bill_record> take_unsent(const std::string& holder, time_point now, duration resend_after,
-                                         duration least_age = duration::zero());
+     * \p min_age old, and that were last sent to it \p resend_after ago; marks them as sent now. */
+    std::vector<bill_record> take_records_to_send(const std::string& holder, time_point now,
+                                                  duration resend_after, duration min_age = duration::zero());
     /** \return the copies of the record that has fewest; the wanted number if there is none. */
-    std::size_t least_copies() const;
+    std::size_t min_copies() const;
     std::size_t size() const { return entries_.size(); }
 
 private:
--- a/src/ledger/ledger_book.cpp
+++ b/src/ledger/ledger_book.cpp
@@ -19,7 +19,7 @@
         if (inserted) {
             continue;
         }
-        ++folded_;
+        ++duplicates_;
         if (is_preferred(record, position->second)) {
             position->second = record;
         }
--- a/src/ledger/ledger_book.h
+++ b/src/ledger/ledger_book.h
@@ -37,13 +37,13 @@
     void add(const ledger_segment& segment);
 
     const std::map<bill_key, bill_record>& records() const { return records_; }
-    /** \return how many copies were folded away; each stewards' copy of a record adds one. */
-    std::int64_t folded() const { return folded_; }
+    /** \return how many copies were duplicates away; each stewards' copy of a record adds one. */
+    std::int64_t duplicates() const { return duplicates_; }
     std::map<std::string, team_total> totals() const;
 
 private:
     std::map<bill_key, bill_record> records_;
-    std::int64_t folded_ = 0;
+    std::int64_t duplicates_ = 0;
 };
 
 } // namespace laurelhoist
--- a/src/ledger/segment_buffer.cpp
+++ b/src/ledger/segment_buffer.cpp
@@ -3,7 +3,7 @@
 namespace laurelhoist {
 
 namespace {
-constexpr std::size_t remembered_drains = 20000;
+constexpr std::size_t max_remembered_keys = 20000;
 }
 
 bool segment_buffer::add(const bill_record& record) {
@@ -37,7 +37,7 @@
     if (!sealed_ || sealed_->name != name) {
         return drained;
     }
-    if (recently_drained_.size() > remembered_drains) {
+    if (recently_drained_.size() > max_remembered_keys) {
         recently_drained_.clear();
     }
     for (const bill_record& record : sealed_->records) {
--- a/src/node/entry_control.cpp
+++ b/src/node/entry_control.cpp
@@ -273,9 +273,9 @@
     }
     std::set<std::string> domains;
     for (const auto& [incarnation, link] : links_) {
-        const bool is_preferred = domains.size() < wanted_bill_copies && domains.insert(link.domain).second;
+        const bool is_preferred = domains.size() < target_bill_copies && domains.insert(link.domain).second;
         const duration least_age = is_preferred ? duration::zero() : spare_holder_after;
-        std::vector<bill_record> unsent = outbox_.take_unsent(incarnation, now_, bill_resend, least_age);
+        std::vector<bill_record> unsent = outbox_.take_records_to_send(incarnation, now_, bill_resend, least_age);
         if (!unsent.empty()) {
             port_.send_to_steward(incarnation, bill_batch{std::move(unsent)});
         }
@@ -285,7 +285,7 @@
 void entry_core::on(const std::string& from, const bill_held& message) {
     const std::string domain = links_.at(from).domain;
     for (const bill_key& key : message.keys) {
-        outbox_.on_held(key, from, domain);
+        outbox_.on_copy_stored(key, from, domain);
         const auto waiting = billing_.find(key);
         if (waiting != billing_.end()) {
             check_billed(requests_.at(waiting->second));
@@ -413,7 +413,7 @@
 }
 
 bool entry_core::is_handed_over() const {
-    return outbox_.least_copies() >= wanted_copies();
+    return outbox_.min_copies() >= wanted_copies();
 }
 
 std::size_t entry_core::wanted_copies() const {
@@ -421,7 +421,7 @@
     for (const auto& [incarnation, link] : links_) {
         domains.insert(link.domain);
     }
-    return std::clamp<std::size_t>(domains.size(), 1, wanted_bill_copies);
+    return std::clamp<std::size_t>(domains.size(), 1, target_bill_copies);
 }
 
 // ---- messages that an entry never gets from a steward ----
--- a/src/node/entry_replies.cpp
+++ b/src/node/entry_replies.cpp
@@ -87,7 +87,7 @@
     const std::size_t copies = outbox_.copies({request.team.name, request.bill_id});
     const bool is_degraded = now_ - request.billing_since >= degraded_billing_wait;
     if (copies >= wanted_copies() || (copies >= 1 && is_degraded)) {
-        numbers_.count(copies >= wanted_bill_copies ? "bills_held_twice" : "bills_held_once");
+        numbers_.count(copies >= target_bill_copies ? "bills_held_twice" : "bills_held_once");
         fire(request.id, "billed");
     }
 }
--- a/src/node/steward_core.cpp
+++ b/src/node/steward_core.cpp
@@ -116,7 +116,7 @@
         hold_bills(incarnation, false, *batch);
     } else if (const auto* held = std::get_if<bill_held>(&message)) {
         for (const bill_key& key : held->keys) {
-            hand_over_.on_held(key, incarnation, found->second.hello.domain);
+            hand_over_.on_copy_stored(key, incarnation, found->second.hello.domain);
         }
     }
 }
--- a/src/node/steward_ledger.cpp
+++ b/src/node/steward_ledger.cpp
@@ -286,12 +286,12 @@
         hand_over_.add(record, now_);
     }
     for (const auto& [incarnation, link] : peers_) {
-        std::vector<bill_record> unsent = hand_over_.take_unsent(incarnation, now_, hand_over_resend);
+        std::vector<bill_record> unsent = hand_over_.take_records_to_send(incarnation, now_, hand_over_resend);
         if (!unsent.empty()) {
             port_.send_to_peer(incarnation, bill_batch{std::move(unsent)});
         }
     }
-    if (segment && !peers_.empty() && hand_over_.least_copies() >= 1) {
+    if (segment && !peers_.empty() && hand_over_.min_copies() >= 1) {
         buffer_.on_written(segment->name);
     }
 }
--- a/src/programs/laurelctl.cpp
+++ b/src/programs/laurelctl.cpp
@@ -369,7 +369,7 @@
     if (FLAGS_json) {
         std::cout << json{{"totals", book.totals()},
                           {"requests", book.records().size()},
-                          {"copies_folded", book.folded()}}
+                          {"copies_folded", book.duplicates()}}
                          .dump(2)
                   << '\n';
         return exit_done;
--- a/src/relay/caller_connection.cpp
+++ b/src/relay/caller_connection.cpp
@@ -178,9 +178,9 @@
         return;
     }
     const duration quiet = now - quiet_since_;
-    if (reader_.is_midway() && quiet > limits_.header_time) {
+    if (reader_.is_midway() && quiet > limits_.header_timeout) {
         refuse(status_request_timeout, "send the whole request without pauses");
-    } else if (quiet > limits_.idle_time + idle_slack) {
+    } else if (quiet > limits_.idle_timeout + idle_slack) {
         close();
     }
 }
--- a/src/relay/exchange.cpp
+++ b/src/relay/exchange.cpp
@@ -162,7 +162,7 @@
 }
 
 bool exchange::admit_team() {
-    if (!routing_->needs_keys()) {
+    if (!routing_->requires_key()) {
         return true;
     }
     if (terms_.has_key) {
--- a/src/relay/relay.h
+++ b/src/relay/relay.h
@@ -62,7 +62,7 @@
     endpoint_directory endpoints;
     connection_pool pool;
     crash_quarantine quarantine;
-    config_fence fence;
+    config_freshness fence;
     first_event_estimate first_events;
     std::map<std::string, retry_budget> retry_budgets;   ///< by service
     std::map<std::string, retry_budget> cascade_budgets; ///< of second runs by a larger model, by service
--- a/src/simulation/replay.cpp
+++ b/src/simulation/replay.cpp
@@ -73,7 +73,7 @@
         wish.is_idempotent = line.path != "book";
         wish.stream = line.stream;
         wish.tokens = std::max(1, line.tokens);
-        wish.difficulty = random.unit();
+        wish.difficulty = random.uniform();
         wish.key = "trace-" + std::to_string(++number);
         simulated.clock.at(begin + duration(line.at_us), [&simulated, wish] { simulated.ask_any(wish); });
     }
--- a/src/simulation/world_callers.cpp
+++ b/src/simulation/world_callers.cpp
@@ -50,7 +50,7 @@
         ended = {"session-" + std::to_string(wish.team) + "-" + std::to_string(++last_session_), "", {}};
     }
     wish.is_service = random_.chance(options_.service_share);
-    wish.difficulty = random_.unit();
+    wish.difficulty = random_.uniform();
     wish.kind = wish.difficulty < 0.5 ? "short" : "long";
     // A caller's word for the kind says something of the difficulty, not all.
     if (random_.chance(0.2)) {
--- a/src/simulation/world_faults.cpp
+++ b/src/simulation/world_faults.cpp
@@ -268,11 +268,11 @@
         for_a_while(some(500, 10000), [this] { platform->faults.delay = milliseconds(3); });
         break;
     case 8:
-        platform->faults.lost_answers = random_.unit() * 0.7;
+        platform->faults.lost_answers = random_.uniform() * 0.7;
         for_a_while(some(500, 15000), [this] { platform->faults.lost_answers = 0; });
         break;
     case 9:
-        platform->faults.late_writes = random_.unit() * 0.5;
+        platform->faults.late_writes = random_.uniform() * 0.5;
         for_a_while(some(500, 15000), [this] { platform->faults.late_writes = 0; });
         break;
     case 10: {
@@ -290,7 +290,7 @@
     case 12: {
         fake_endpoint& endpoint = any_endpoint();
         double& fault = random_.chance(0.5) ? endpoint.cut_share : endpoint.doubled_parts;
-        fault = random_.unit();
+        fault = random_.uniform();
         for_a_while(some(500, 20000), [&fault] { fault = 0; });
         break;
     }
@@ -331,8 +331,8 @@
         });
         break;
     case 16:
-        message_doubling = random_.unit() * 0.3;
-        message_delay_share = random_.unit() * 0.2;
+        message_doubling = random_.uniform() * 0.3;
+        message_delay_share = random_.uniform() * 0.2;
         for_a_while(some(500, 15000), [this] {
             message_doubling = 0;
             message_delay_share = 0;
--- a/src/store/object_watch.cpp
+++ b/src/store/object_watch.cpp
@@ -139,7 +139,7 @@
     if (!spread_) {
         return wait_;
     }
-    return std::chrono::duration_cast<duration>(wait_ * (shortest + range * spread_->unit()));
+    return std::chrono::duration_cast<duration>(wait_ * (shortest + range * spread_->uniform()));
 }
 
 void object_watch::follow() {
--- a/src/traffic/config_fence.h
+++ b/src/traffic/config_fence.h
@@ -16,23 +16,27 @@
 
 namespace laurelhoist {
 
-class config_fence {
+class config_freshness {
 public:
     /** \param bound for how long after its withdrawal a key may still be honoured
      * \param margin kept for the caller's link and the rate of clocks */
-    config_fence(duration bound, duration margin) : bound_{bound}, margin_{margin} {}
+    config_freshness(duration bound, duration margin) : bound_{bound}, margin_{margin} {}
 
     /** Notes that the configuration in force was the newest at \p as_of; never moves back. */
-    void confirm(time_point as_of) { known_ = known_ ? std::max(*known_, as_of) : as_of; }
+    void confirm(time_point as_of) {
+        confirmed_at_ = confirmed_at_ ? std::max(*confirmed_at_, as_of) : as_of;
+    }
     /** \return whether a keyed request that arrived at \p arrival may run. */
-    bool admits(time_point arrival) const { return known_ && *known_ + bound_ - margin_ > arrival; }
+    bool admits(time_point arrival) const {
+        return confirmed_at_ && *confirmed_at_ + bound_ - margin_ > arrival;
+    }
     /** \return how old the knowledge is at \p now; the largest duration if nothing was ever confirmed. */
-    duration age(time_point now) const { return known_ ? now - *known_ : duration::max(); }
+    duration age(time_point now) const { return confirmed_at_ ? now - *confirmed_at_ : duration::max(); }
 
 private:
     duration bound_;
     duration margin_;
-    std::optional<time_point> known_;
+    std::optional<time_point> confirmed_at_;
 };
 
 } // namespace laurelhoist
--- a/src/traffic/routing_table.h
+++ b/src/traffic/routing_table.h
@@ -23,7 +23,7 @@
     /** \return the team that holds \p key, or null. */
     const traffic_team* find_team(const std::string& key) const;
     const traffic_service* find_service(const std::string& name) const;
-    bool needs_keys() const { return !config_.teams.empty(); }
+    bool requires_key() const { return !config_.teams.empty(); }
 
 private:
     traffic_config config_;
--- a/src/traffic/traffic_types.h
+++ b/src/traffic/traffic_types.h
@@ -65,8 +65,8 @@
 struct caller_limits {
     std::size_t header_bytes = 16 << 10;
     std::size_t body_bytes = 4 << 20;
-    duration header_time = seconds(3);
-    duration idle_time = seconds(15);
+    duration header_timeout = seconds(3);
+    duration idle_timeout = seconds(15);
 };
 
 struct traffic_team {
--- a/test/base_test.cpp
+++ b/test/base_test.cpp
@@ -24,7 +24,7 @@
     RC_ASSERT(unit == unit_hash(text));
 }
 
-TEST(digest, altered_base64_is_refused) {
+TEST(digest, invalid_base64_is_rejected) {
     EXPECT_EQ(base64url_decode("not base64!"), "");
 }
 
@@ -46,7 +46,7 @@
     EXPECT_EQ(http_status(error_kind::queue_full), 429);
 }
 
-TEST(invariant, a_broken_one_is_counted_and_can_throw) {
+TEST(invariant, a_violation_is_counted_and_can_throw) {
     invariant_registry& registry = invariant_registry::instance();
     const std::uint64_t before = registry.broken();
     EXPECT_FALSE(invariant("test_promise", false, [] { return json{{"a", 1}}; }));
@@ -66,7 +66,7 @@
     EXPECT_EQ(values.count(), 10000U);
 }
 
-TEST(mechanisms, are_switched_off_by_name) {
+TEST(mechanisms, mechanisms_are_disabled_by_name) {
     const std::optional<mechanisms> made = without_mechanisms("vouches,shared_homes");
     ASSERT_TRUE(made);
     EXPECT_FALSE(made->vouches);
--- a/test/bundle_test.cpp
+++ b/test/bundle_test.cpp
@@ -9,17 +9,17 @@
 
 namespace {
 
-const chart& life() {
+const chart& lifecycle() {
     static const chart loaded = load_chart_or_exit(LAUREL_SOURCE_DIR "/charts", "bundle");
     return loaded;
 }
 
-json sample(const std::string& name) {
+json load_example(const std::string& name) {
     std::ifstream file(LAUREL_SOURCE_DIR "/examples/" + name);
     return json::parse(file);
 }
 
-fleet_command make(command_kind kind, const fleet_head& head, const std::string& id = "b") {
+fleet_command make_command(command_kind kind, const fleet_head& head, const std::string& id = "b") {
     fleet_command command;
     command.kind = kind;
     command.by = "ana";
@@ -30,29 +30,29 @@
     return command;
 }
 
-fleet_head apply(const fleet_head& head, const fleet_command& command) {
-    const outcome<fleet_head> next = apply_command(head, command, life());
+fleet_head apply_or_fail(const fleet_head& head, const fleet_command& command) {
+    const outcome<fleet_head> next = apply_command(head, command, lifecycle());
     EXPECT_NE(value_of(next), nullptr) << error_of(next)->message;
     return *value_of(next);
 }
 
-fleet_head rolled(const std::string& id, fleet_head head = {}) {
+fleet_head head_after_roll(const std::string& id, fleet_head head = {}) {
     for (const command_kind kind : {command_kind::submit, command_kind::sign_off, command_kind::roll}) {
-        head = apply(head, make(kind, head, id));
+        head = apply_or_fail(head, make_command(kind, head, id));
     }
     return head;
 }
 
 } // namespace
 
-TEST(bundle_check, samples_are_valid) {
+TEST(bundle_check, examples_are_valid) {
     for (const char* name : {"brazda-1.json", "brazda-2-bad.json", "brazda-3.json", "consorzio-1.json"}) {
-        EXPECT_TRUE(check_bundle(sample(name)).empty()) << name;
+        EXPECT_TRUE(check_bundle(load_example(name)).empty()) << name;
     }
 }
 
-TEST(bundle_check, every_fault_is_reported_with_path_and_remedy) {
-    json document = sample("brazda-1.json");
+TEST(bundle_check, every_error_is_reported_with_path_and_remedy) {
+    json document = load_example("brazda-1.json");
     document["teams"][0]["ladder"] = {"savjet@1", "nacrt@1", "nacrt@9"};
     document["teams"][1]["name"] = document["teams"][0]["name"];
     document["models"][0]["pool"] = "claims";
@@ -66,69 +66,70 @@
 }
 
 TEST(bundle_check, shape_is_checked_against_the_published_schema) {
-    json document = sample("brazda-1.json");
+    json document = load_example("brazda-1.json");
     document["tems"] = json::array();
     EXPECT_FALSE(check_bundle(document).empty());
     EXPECT_FALSE(check_bundle(json::array()).empty());
 }
 
 TEST(bundle, values_compare_and_survive_json) {
-    const auto first = sample("brazda-1.json").get<bundle>();
+    const auto first = load_example("brazda-1.json").get<bundle>();
     EXPECT_EQ(json(first).get<bundle>(), first);
-    EXPECT_NE(first, sample("brazda-3.json").get<bundle>());
+    EXPECT_NE(first, load_example("brazda-3.json").get<bundle>());
     EXPECT_EQ(content_hash(first), content_hash(json(first).get<bundle>()));
 }
 
 // Two operators look at the same status and both decide: one pauses the roll-out, the other withdraws it a
 // moment later. Without the revision that each decided on, the second would undo the first unseen. Cause:
 // two writers, one object.
-TEST(fleet_head, a_racing_operator_is_shown_the_other_change) {
-    const fleet_head head = rolled("b", rolled("a"));
-    const fleet_command pause = make(command_kind::pause, head);
-    const fleet_command withdraw = make(command_kind::withdraw_bundle, head);
-    const fleet_head paused = apply(head, pause);
-    const outcome<fleet_head> second = apply_command(paused, withdraw, life());
+TEST(fleet_head, a_concurrent_command_is_refused_and_names_the_other_change) {
+    const fleet_head head = head_after_roll("b", head_after_roll("a"));
+    const fleet_command pause = make_command(command_kind::pause, head);
+    const fleet_command withdraw = make_command(command_kind::withdraw_bundle, head);
+    const fleet_head paused = apply_or_fail(head, pause);
+    const outcome<fleet_head> second = apply_command(paused, withdraw, lifecycle());
     ASSERT_NE(error_of(second), nullptr);
     EXPECT_NE(error_of(second)->message.find("pause b"), std::string::npos);
     EXPECT_NE(error_of(second)->message.find("ana"), std::string::npos);
 }
 
 TEST(fleet_head, only_the_signed_content_is_signed_off) {
-    fleet_head head = apply({}, make(command_kind::submit, {}));
-    fleet_command sign = make(command_kind::sign_off, head);
+    fleet_head head = apply_or_fail({}, make_command(command_kind::submit, {}));
+    fleet_command sign = make_command(command_kind::sign_off, head);
     sign.sha256 = "other";
-    EXPECT_NE(error_of(apply_command(head, sign, life())), nullptr);
-    EXPECT_NE(error_of(apply_command(head, make(command_kind::roll, head), life())), nullptr);
+    EXPECT_NE(error_of(apply_command(head, sign, lifecycle())), nullptr);
+    EXPECT_NE(error_of(apply_command(head, make_command(command_kind::roll, head), lifecycle())), nullptr);
 }
 
 TEST(fleet_head, brake_and_resume) {
-    fleet_head head = rolled("b", rolled("a"));
-    fleet_command brake = make(command_kind::brake, head);
+    fleet_head head = head_after_roll("b", head_after_roll("a"));
+    fleet_command brake = make_command(command_kind::brake, head);
     brake.versions = {"m@2"};
-    head = apply(head, brake);
+    head = apply_or_fail(head, brake);
     EXPECT_EQ(head.bundles["b"].state, "braked");
     const int epoch = head.bundles["b"].epoch;
-    fleet_command resume = make(command_kind::resume, head);
+    fleet_command resume = make_command(command_kind::resume, head);
     resume.versions = {"m@2"};
-    head = apply(head, resume);
+    head = apply_or_fail(head, resume);
     EXPECT_TRUE(head.braked.empty());
     EXPECT_EQ(head.bundles["b"].epoch, epoch + 1);
 }
 
 // Whatever operators do, in any order: revisions rise by one, a withdrawal stays, and at most one bundle
 // is under roll-out.
-RC_GTEST_PROP(fleet_head, any_sequence_of_commands_keeps_the_promises, ()) {
+RC_GTEST_PROP(fleet_head, any_sequence_of_commands_keeps_the_invariants, ()) {
     fleet_head head;
     const auto count = *rc::gen::inRange(1, 60);
     for (int i = 0; i < count; ++i) {
-        fleet_command command = make(static_cast<command_kind>(*rc::gen::inRange(0, 12)), head,
-                                     std::string(1, static_cast<char>('a' + *rc::gen::inRange(0, 3))));
+        fleet_command command =
+            make_command(static_cast<command_kind>(*rc::gen::inRange(0, 12)), head,
+                         std::string(1, static_cast<char>('a' + *rc::gen::inRange(0, 3))));
         command.versions = {"m@" + std::to_string(*rc::gen::inRange(1, 4))};
         command.step = *rc::gen::inRange(0, 3);
         command.share = *rc::gen::inRange(0, 100) / 100.0;
         command.steward = {"i" + std::to_string(*rc::gen::inRange(0, 4)),
                            "s" + std::to_string(*rc::gen::inRange(0, 3)), "", ""};
-        const outcome<fleet_head> next = apply_command(head, command, life());
+        const outcome<fleet_head> next = apply_command(head, command, lifecycle());
         if (value_of(next) == nullptr) {
             continue;
         }
@@ -142,9 +143,9 @@
     }
 }
 
-TEST(fleet_view, a_session_once_taken_by_the_rollout_stays_taken) {
-    fleet_head head = rolled("b", rolled("a"));
-    const auto a = sample("brazda-1.json").get<bundle>();
+TEST(fleet_view, a_session_in_the_rollout_stays_in_it_as_the_share_grows) {
+    fleet_head head = head_after_roll("b", head_after_roll("a"));
+    const auto a = load_example("brazda-1.json").get<bundle>();
     double last_taken = 0;
     for (const double share : {0.1, 0.5, 1.0}) {
         head.bundles["b"].share = share;
--- a/test/chart_test.cpp
+++ b/test/chart_test.cpp
@@ -48,12 +48,12 @@
     EXPECT_FALSE(bound.fire(host, context, "no_such_event"));
 }
 
-TEST(chart, a_missing_handler_is_an_error_at_the_start) {
+TEST(chart, binding_fails_if_a_handler_is_missing) {
     const outcome<chart> parsed = chart::parse(door, "door");
     EXPECT_THROW((door_chart{*value_of(parsed), {}, {{"creak", &door_host::creak}}}), std::invalid_argument);
 }
 
-TEST(chart, faults_are_named) {
+TEST(chart, invalid_charts_are_rejected_with_the_reason) {
     EXPECT_NE(fault_of("<scxml").find("not XML"), std::string::npos);
     EXPECT_NE(fault_of(R"(<scxml initial="a"></scxml>)").find("initial state"), std::string::npos);
     EXPECT_NE(
@@ -68,14 +68,14 @@
 }
 
 TEST(chart, an_impossible_event_lists_the_possible_ones) {
-    const outcome<chart> life = chart::load(LAUREL_SOURCE_DIR "/charts/bundle.scxml");
-    ASSERT_NE(value_of(life), nullptr);
-    const outcome<std::string> next = value_of(life)->next("submitted", "roll");
+    const outcome<chart> lifecycle = chart::load(LAUREL_SOURCE_DIR "/charts/bundle.scxml");
+    ASSERT_NE(value_of(lifecycle), nullptr);
+    const outcome<std::string> next = value_of(lifecycle)->next("submitted", "roll");
     ASSERT_NE(error_of(next), nullptr);
     EXPECT_NE(error_of(next)->message.find("sign_off"), std::string::npos);
 }
 
-TEST(chart, every_shipped_chart_is_sound) {
+TEST(chart, every_shipped_chart_is_valid) {
     for (const char* name : {"bundle", "endpoint", "host", "request"}) {
         const outcome<chart> loaded =
             chart::load(std::string(LAUREL_SOURCE_DIR "/charts/") + name + ".scxml");
--- a/test/ledger_test.cpp
+++ b/test/ledger_test.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-bill_record record_of(int number, std::int64_t cost = 5) {
+bill_record make_record(int number, std::int64_t cost = 5) {
     bill_record record;
     record.team = "team" + std::to_string(number % 3);
     record.request_id = "r" + std::to_string(number);
@@ -18,11 +18,12 @@
 } // namespace
 
 // Whatever is lost, doubled or reordered on the way, the ledger is the set of its records.
-RC_GTEST_PROP(ledger_book, order_and_doubling_change_nothing, (const std::vector<std::uint8_t>& numbers)) {
+RC_GTEST_PROP(ledger_book, order_and_duplicates_do_not_change_the_ledger,
+              (const std::vector<std::uint8_t>& numbers)) {
     std::vector<ledger_segment> segments;
     for (const std::uint8_t number : numbers) {
-        segments.push_back(
-            {"s" + std::to_string(segments.size()), {record_of(number, number % 7), record_of(number / 2)}});
+        segments.push_back({"s" + std::to_string(segments.size()),
+                            {make_record(number, number % 7), make_record(number / 2)}});
     }
     ledger_book forward;
     for (const ledger_segment& segment : segments) {
@@ -39,33 +40,33 @@
 
 // The platform takes a segment and its answer is lost; the steward must repeat the very same write, or the
 // records of two different segments under one name would be lost or doubled.
-TEST(segment_buffer, a_sealed_segment_is_repeated_unchanged) {
+TEST(segment_buffer, a_sealed_segment_is_retried_unchanged) {
     segment_buffer buffer("steward#1");
-    EXPECT_TRUE(buffer.add(record_of(1)));
+    EXPECT_TRUE(buffer.add(make_record(1)));
     const ledger_segment sealed = *buffer.current();
-    EXPECT_TRUE(buffer.add(record_of(2)));
+    EXPECT_TRUE(buffer.add(make_record(2)));
     EXPECT_EQ(*buffer.current(), sealed);
     EXPECT_EQ(buffer.on_written(sealed.name).size(), 1U);
     EXPECT_NE(buffer.current()->name, sealed.name);
     EXPECT_EQ(buffer.current()->records.size(), 1U);
 }
 
-TEST(segment_buffer, a_drained_record_that_comes_again_is_not_written_again) {
+TEST(segment_buffer, a_duplicate_of_a_drained_record_is_not_written_again) {
     segment_buffer buffer("steward#1");
-    buffer.add(record_of(1));
+    buffer.add(make_record(1));
     buffer.on_written(buffer.current()->name);
-    EXPECT_TRUE(buffer.add(record_of(1)));
+    EXPECT_TRUE(buffer.add(make_record(1)));
     EXPECT_TRUE(buffer.is_empty());
 }
 
 TEST(bill_outbox, copies_count_failure_domains_not_hosts) {
     bill_outbox outbox;
-    outbox.add(record_of(1), {});
-    const bill_key key = key_of(record_of(1));
-    outbox.on_held(key, "a", "north");
-    outbox.on_held(key, "b", "north");
+    outbox.add(make_record(1), {});
+    const bill_key key = key_of(make_record(1));
+    outbox.on_copy_stored(key, "a", "north");
+    outbox.on_copy_stored(key, "b", "north");
     EXPECT_EQ(outbox.copies(key), 1U);
-    outbox.on_held(key, "c", "south");
+    outbox.on_copy_stored(key, "c", "south");
     EXPECT_EQ(outbox.copies(key), 2U);
     outbox.on_holder_lost("c");
     EXPECT_EQ(outbox.copies(key), 1U);
@@ -76,15 +77,15 @@
 TEST(bill_outbox, unacknowledged_records_are_sent_again) {
     bill_outbox outbox;
     const time_point begin;
-    outbox.add(record_of(1), begin);
-    EXPECT_EQ(outbox.take_unsent("a", begin, seconds(1)).size(), 1U);
-    EXPECT_EQ(outbox.take_unsent("a", begin + milliseconds(500), seconds(1)).size(), 0U);
-    EXPECT_EQ(outbox.take_unsent("a", begin + seconds(1), seconds(1)).size(), 1U);
-    outbox.on_held(key_of(record_of(1)), "a", "north");
-    EXPECT_EQ(outbox.take_unsent("a", begin + seconds(9), seconds(1)).size(), 0U);
+    outbox.add(make_record(1), begin);
+    EXPECT_EQ(outbox.take_records_to_send("a", begin, seconds(1)).size(), 1U);
+    EXPECT_EQ(outbox.take_records_to_send("a", begin + milliseconds(500), seconds(1)).size(), 0U);
+    EXPECT_EQ(outbox.take_records_to_send("a", begin + seconds(1), seconds(1)).size(), 1U);
+    outbox.on_copy_stored(key_of(make_record(1)), "a", "north");
+    EXPECT_EQ(outbox.take_records_to_send("a", begin + seconds(9), seconds(1)).size(), 0U);
 }
 
-TEST(claim, names_do_not_collide_over_teams) {
+TEST(claim, names_do_not_collide_across_teams) {
     EXPECT_NE(claim_name("a", "k"), claim_name("b", "k"));
     EXPECT_EQ(claim_name("a", "k/../x").find(".."), std::string::npos);
 }
--- a/test/rate_limits_test.cpp
+++ b/test/rate_limits_test.cpp
@@ -217,7 +217,7 @@
     }
 
     void tell(std::size_t other, const std::vector<limit_notice>& news) {
-        if (hosts_[other].is_alive && random_.unit() >= loss_) {
+        if (hosts_[other].is_alive && random_.uniform() >= loss_) {
             hosts_[other].limits.merge(news, now_);
         }
     }
--- a/test/traffic_test.cpp
+++ b/test/traffic_test.cpp
@@ -20,7 +20,7 @@
     return config;
 }
 
-TEST(routing_table, the_longest_prefix_of_the_host_wins) {
+TEST(routing_table, the_longest_matching_prefix_of_the_host_is_chosen) {
     const routing_table table(two_routes());
     EXPECT_EQ(table.find_route("forms.example", "/a/b/c")->name, "special");
     EXPECT_EQ(table.find_route("forms.example:8080", "/a/c")->name, "general");
@@ -37,17 +37,17 @@
     EXPECT_EQ(table.find_team(""), nullptr);
 }
 
-TEST(config_fence, admits_nothing_before_the_first_confirmation) {
-    const config_fence fence(seconds(5), milliseconds(300));
+TEST(config_freshness, admits_nothing_before_the_first_confirmation) {
+    const config_freshness fence(seconds(5), milliseconds(300));
     EXPECT_FALSE(fence.admits(time_point{}));
 }
 
 // A host is cut off from the store just before an operator withdraws a key. For the callers of that host the
 // key goes on working; the host cannot know better. Five seconds after the withdrawal it must not, so the
 // host has to refuse what it cannot check.
-RC_GTEST_PROP(config_fence, a_key_withdrawn_after_the_last_confirmation_never_runs_beyond_the_bound,
+RC_GTEST_PROP(config_freshness, a_key_withdrawn_after_the_last_confirmation_never_runs_beyond_the_bound,
               (std::uint32_t confirmed_ms, std::uint32_t withdrawn_after_ms, std::uint32_t sent_after_ms)) {
-    config_fence fence(seconds(5), milliseconds(300));
+    config_freshness fence(seconds(5), milliseconds(300));
     const time_point confirmed = time_point{} + milliseconds(confirmed_ms % 100'000);
     const time_point withdrawn = confirmed + milliseconds(withdrawn_after_ms % 10'000);
     const time_point sent = withdrawn + seconds(5) + milliseconds(sent_after_ms % 10'000);
@@ -55,8 +55,8 @@
     RC_ASSERT(!fence.admits(sent));
 }
 
-TEST(config_fence, a_late_older_confirmation_does_not_move_it_back) {
-    config_fence fence(seconds(5), milliseconds(300));
+TEST(config_freshness, an_older_confirmation_does_not_lower_the_freshness) {
+    config_freshness fence(seconds(5), milliseconds(300));
     fence.confirm(time_point{} + seconds(10));
     fence.confirm(time_point{} + seconds(4));
     EXPECT_TRUE(fence.admits(time_point{} + seconds(14)));
