--- a/src/base/base.h
+++ b/src/base/base.h
@@ -1,6 +1,6 @@
 /** \file
- * The one public header of the base library: results, errors, time, ids, hashes, invariants, metrics,
- * logs and settings that every other library builds on.
+ * Public header of the base library: results, errors, time, identifiers, hashes, invariants, metrics, logs
+ * and settings, which all other libraries use.
  */
 #pragma once
 
--- a/src/base/digest.h
+++ b/src/base/digest.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines hashes over text: SHA-256 for content and keys, HMAC for tokens, XXH64 for placement.
+ * Defines hashes of text: SHA-256 for content and keys, HMAC for tokens, XXH64 for placement.
  */
 #pragma once
 
@@ -13,15 +13,15 @@
 std::string sha256_hex(std::string_view text);
 /** \return the HMAC-SHA-256 of \p text under \p key as lower-case hexadecimal digits. */
 std::string hmac_hex(std::string_view key, std::string_view text);
-/** \return whether two strings are equal, in a time that does not tell where they differ. */
+/** \return whether two strings are equal, in a time that does not depend on where they differ. */
 bool equal_in_constant_time(std::string_view left, std::string_view right);
 /** \return \p text in the URL-safe base-64 alphabet without padding. */
 std::string base64url_encode(std::string_view text);
-/** \return the bytes behind \p text, or an empty string if it is not base64url. */
+/** \return the bytes encoded in \p text, or an empty string if it is not base64url. */
 std::string base64url_decode(std::string_view text);
-/** \return a well-mixed 64-bit placement hash of \p text. */
+/** \return a uniformly distributed 64-bit hash of \p text; not cryptographic. */
 std::uint64_t placement_hash(std::string_view text, std::uint64_t seed = 0);
-/** \return a number in [0, 1) that depends only on \p text. */
+/** \return a hash of \p text, uniformly distributed in [0, 1). */
 double unit_hash(std::string_view text);
 
 } // namespace laurelhoist
--- a/src/base/error.h
+++ b/src/base/error.h
@@ -1,6 +1,6 @@
 /** \file
- * Defines the typed errors and the result type. An error names what went wrong, how to mend it, whether
- * the caller's work has run, and when to come back.
+ * Defines the typed errors and the result type. An error states what went wrong, how to fix it, whether
+ * the caller's request has run, and when to retry.
  */
 #pragma once
 
@@ -12,7 +12,7 @@
 
 namespace laurelhoist {
 
-/** What went wrong; each kind has one HTTP status and one remedy page. */
+/** The kind of an error; each has one HTTP status and one remedy page. */
 enum class error_kind {
     invalid_setting,
     invalid_request,
@@ -38,33 +38,33 @@
     internal,
 };
 
-/** Whether the work of a refused or failed request has run. */
+/** Whether a refused or failed request has run. */
 enum class ran_state { no, yes, unknown };
 
 NLOHMANN_JSON_SERIALIZE_ENUM(ran_state, {{ran_state::no, "no"},
                                          {ran_state::yes, "yes"},
                                          {ran_state::unknown, "unknown"}})
 
-/** \return the name of \p kind as it stands in answers and logs. */
+/** \return the name of \p kind that is used in answers and logs. */
 const char* to_string(error_kind kind);
 /** \return the HTTP status code for \p kind. */
 int http_status(error_kind kind);
 
-/** A typed error. \c message says what happened and how to mend it. */
+/** A typed error. \c message says what happened and how to fix it. */
 struct error {
     error_kind kind = error_kind::internal;
     std::string message;
     ran_state ran = ran_state::no;
-    int retry_after_ms = 0; ///< 0: trying again will not help.
+    int retry_after_ms = 0; ///< delay before a retry; 0 if none is suggested
 };
 
 bool operator==(const error& left, const error& right);
 bool operator!=(const error& left, const error& right);
 
-/** \return the JSON body in which every error reaches a caller. */
+/** \return the JSON body by which errors are reported to callers. */
 json to_error_body(const error& failure, const std::string& request_id);
 
-/** Either a value or the error that stood in its way. */
+/** Either a value or the error that prevented it. */
 template <class T>
 using outcome = std::variant<T, error>;
 
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -20,14 +20,14 @@
     return current;
 }
 
-/// Lines that wait for a slow reader; about a second of the busiest load.
+/// Limit of the lines buffered for a slow reader; about one second of output at the highest load.
 constexpr std::size_t max_buffered_bytes = 256 << 10;
-/// Written at once when so much is gathered, so that a line costs no system call of its own.
+/// Buffered lines are written when they reach this size, which avoids one system call per line.
 constexpr std::size_t flush_threshold_bytes = 4 << 10;
-/// Routine lines for each second; warnings and errors are not counted against it.
+/// Rate limit of informational lines; warnings and errors are exempt.
 constexpr std::uint64_t max_info_lines_per_second = 400;
 
-/** Gathers lines and writes them to standard output without blocking. */
+/** Buffers lines and writes them to standard output without blocking. */
 class stdout_sink : public google::LogSink {
 public:
     void send(google::LogSeverity severity, const char*, const char*, int, const struct ::tm*,
@@ -55,7 +55,7 @@
         while (!buffer_.empty()) {
             const ssize_t written = ::write(STDOUT_FILENO, buffer_.data(), buffer_.size());
             if (written <= 0) {
-                return; // The reader is slow; the lines stay until the next call.
+                return; // The reader is slow; the lines stay in the buffer until the next call.
             }
             buffer_.erase(0, static_cast<std::size_t>(written));
         }
@@ -104,11 +104,11 @@
 void start_log_on_stdout(const char* program, const std::string& host) {
     context() = {program, host};
     FLAGS_log_prefix = false;
-    FLAGS_stderrthreshold = google::NUM_SEVERITIES; // The sink alone gets the lines.
+    FLAGS_stderrthreshold = google::NUM_SEVERITIES; // Only the sink receives the lines.
     FLAGS_logtostderr = false;
     for (const google::LogSeverity severity :
          {google::GLOG_INFO, google::GLOG_WARNING, google::GLOG_ERROR, google::GLOG_FATAL}) {
-        google::SetLogDestination(severity, ""); // No files.
+        google::SetLogDestination(severity, ""); // An empty name disables log files.
     }
     google::InitGoogleLogging(program);
     google::AddLogSink(&sink());
--- a/src/base/mechanisms.h
+++ b/src/base/mechanisms.h
@@ -1,6 +1,6 @@
 /** \file
- * Defines which mechanisms of the decisions are in use. All are, but in experiments that switch one off to
- * see what it is worth.
+ * Defines which mechanisms of routing are enabled. All are, except in experiments that disable one to
+ * measure its effect.
  */
 #pragma once
 
@@ -9,24 +9,24 @@
 
 namespace laurelhoist {
 
-/** One switch a mechanism; immutable once the host has started. */
+/** One switch per mechanism; constant after the start of a host. */
 struct mechanisms {
-    bool steps_up = true;            ///< a larger model is asked where a small one's answer is unsure
-    bool keeps_time = true;          ///< only a model that is predicted to be in time is stepped up to
-    bool shared_homes = true;        ///< shared parts of prompts have a home on one engine
-    bool prices_rereading = true;    ///< placement counts what reading a shared part again costs others
-    bool remembers_parts = true;     ///< placement counts what this host has sent to an engine before
-    bool hears_peer_load = true;     ///< placement counts what other hosts have in flight
-    bool learns_reading_time = true; ///< costs of a model by least squares, in place of the initial ones
-    bool keeps_to_domain = true;     ///< endpoints of the own failure domain first
-    bool resumes_silent = true;      ///< a silent stream goes on at another endpoint before its time limit
-    bool vouches = true;             ///< peers say how fresh the configuration is
-    bool tries_few_endpoints = true; ///< a release on trial goes to few endpoints, under their full load
-    bool suspects_releases = true;   ///< nothing is reported complete while bad answers stand against it
+    bool steps_up = true;     ///< retries with a larger model if a small model's answer has low confidence
+    bool keeps_time = true;   ///< steps up only to a model that is predicted to meet the latency objective
+    bool shared_homes = true; ///< each shared prompt prefix has a home engine, chosen by hashing
+    bool prices_rereading = true;    ///< placement adds a cost for processing a shared prompt part again
+    bool remembers_parts = true;     ///< placement uses which prompt parts this host has sent to an engine
+    bool hears_peer_load = true;     ///< placement includes the load in flight from other hosts
+    bool learns_reading_time = true; ///< estimates a model's costs by least squares instead of constants
+    bool keeps_to_domain = true;     ///< prefers endpoints in the host's own failure domain
+    bool resumes_silent = true;      ///< moves a stalled request to another endpoint before its timeout
+    bool vouches = true;             ///< asks peers to confirm that the configuration is current
+    bool tries_few_endpoints = true; ///< sends trial traffic of a release to few endpoints, at full load
+    bool suspects_releases = true;   ///< delays cut-over and completion while a release looks bad
 };
 
-/** \param text names of mechanisms that are off, as their members are called, separated by commas
- * \return the switches, or nothing if a name is unknown */
+/** \param text comma-separated names of the mechanisms to disable, which are the names of the members
+ * \return all mechanisms enabled but these, or nothing if a name is unknown */
 std::optional<mechanisms> without_mechanisms(const std::string& text);
 
 /** \return the names of all mechanisms, separated by commas. */
--- a/src/base/metrics.h
+++ b/src/base/metrics.h
@@ -1,5 +1,6 @@
 /** \file
- * Defines counters and latency distributions (Boost.Accumulators behind) and their text form for /metrics.
+ * Defines counters, gauges and latency distributions (using Boost.Accumulators) and their text form for
+ * /metrics.
  */
 #pragma once
 
@@ -13,7 +14,7 @@
 
 namespace laurelhoist {
 
-/** A stream of measurements with its count, mean and p50, p95, p99. */
+/** Running statistics of a series of measurements: count, mean and estimates of p50, p95 and p99. */
 class distribution {
 public:
     distribution();
@@ -26,7 +27,8 @@
     void add(double value);
     std::uint64_t count() const;
     double mean() const;
-    /** \param probability one of 0.5, 0.95, 0.99. \return the estimated quantile, 0 without values. */
+    /** \param probability one of 0.5, 0.95, 0.99. \return the estimated quantile; 0 if there are no values.
+     */
     double quantile(double probability) const;
 
 private:
@@ -34,7 +36,7 @@
     std::unique_ptr<state> state_;
 };
 
-/** The counters and distributions of one process. */
+/** The counters, gauges and distributions of one process. */
 class metrics {
 public:
     void count(const std::string& name, std::uint64_t amount = 1) { counters_[name] += amount; }
@@ -42,7 +44,7 @@
     void time(const std::string& name, duration span) { distributions_[name].add(to_ms(span)); }
 
     std::uint64_t counter(const std::string& name) const;
-    /** \return everything, with the invariants' counts, one `name value` a line. */
+    /** \return all metrics, including the counts of invariants, as lines of `name value`. */
     std::string to_text() const;
 
 private:
@@ -51,8 +53,8 @@
     std::map<std::string, distribution> distributions_;
 };
 
-/** \return the \p share quantile of \p values, exactly; 0 if there are none. For reports, where all are kept.
- */
+/** \return the exact quantile of \p values at \p probability; 0 if there are none. For reports, which keep
+ * all values. */
 double quantile_of(std::vector<double> values, double probability);
 
 /** \return this process's processor time in seconds, user and system. */
--- a/src/base/random.h
+++ b/src/base/random.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines the seeded random source that decisions draw from, so that a run can be repeated.
+ * Defines the seeded random source of all randomized decisions, which makes runs reproducible.
  */
 #pragma once
 
@@ -14,11 +14,11 @@
 public:
     explicit random_source(std::uint64_t seed) : engine_{seed} {}
 
-    /** \return a number in [0, 1). */
+    /** \return a uniformly distributed number in [0, 1). */
     double uniform() { return std::uniform_real_distribution<double>{0.0, 1.0}(engine_); }
-    /** \return a whole number in [0, \p bound), 0 if \p bound is 0. */
+    /** \return a uniformly distributed integer in [0, \p bound); 0 if \p bound is 0. */
     std::size_t below(std::size_t bound);
-    /** \return true with probability \p chance. */
+    /** \return true with probability \p probability. */
     bool chance(double probability) { return uniform() < probability; }
     /** \return an exponentially distributed number with the given mean. */
     double exponential(double mean) { return std::exponential_distribution<double>{1.0 / mean}(engine_); }
@@ -31,7 +31,7 @@
     std::mt19937_64 engine_;
 };
 
-/** \return a seed from the operating system, for programs. */
+/** \return a random seed from the operating system. */
 std::uint64_t entropy_seed();
 
 } // namespace laurelhoist
--- a/src/base/settings.cpp
+++ b/src/base/settings.cpp
@@ -37,7 +37,7 @@
     return all;
 }
 
-// gflags can read flags from the environment only when the command line names them; this reads each.
+// gflags reads a flag from the environment only if the command line asks for it; this reads all of them.
 void read_environment() {
     for (const gflags::CommandLineFlagInfo& flag : own_flags()) {
         const char* value = std::getenv(environment_name(flag.name).c_str());
@@ -73,8 +73,8 @@
     }
 }
 
-// gflags itself would end the process with code 1 and no remedy on an unknown flag or a value of the
-// wrong type; checking each argument first gives every bad setting the same answer.
+// For an unknown flag or a value of the wrong type, gflags itself ends the process with code 1 and no remedy.
+// Checking each argument first reports every invalid setting in the same way.
 void check_arguments(int argc, char** argv) {
     for (int i = 1; i < argc; ++i) {
         const std::string argument = argv[i];
--- a/src/base/value_type.h
+++ b/src/base/value_type.h
@@ -1,6 +1,6 @@
 /** \file
- * Defines the macro that gives a plain struct its JSON (and so CBOR) form and its comparison, from one
- * list of fields, so that a message's codec and equality can never disagree with its declaration.
+ * Defines the macro that generates JSON (and thereby CBOR) conversion and comparison of a plain struct from
+ * one list of fields, so that both always cover the same fields.
  */
 #pragma once
 
@@ -15,7 +15,7 @@
 #define LAUREL_COMPARE_FIELD(field) &&left.field == right.field
 
 /** Declares JSON conversion and `==`, `!=` for \p type over the listed fields. Missing fields take the
- * default of the struct, so that an older sender and a newer receiver understand each other. */
+ * default of the struct, so that a newer receiver accepts messages from an older sender. */
 #define LAUREL_VALUE_TYPE(type, ...)                                                                         \
     NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(type, __VA_ARGS__)                                       \
     inline bool operator==(const type& left, const type& right) {                                            \
--- a/src/bundle/bundle.h
+++ b/src/bundle/bundle.h
@@ -1,6 +1,7 @@
 /** \file
- * The one public header of the bundle library: what operators sign off (bundles), what is in force (the
- * fleet head), the commands that change it, and the view that decisions read.
+ * Public header of the bundle library: the configuration documents that operators sign off (bundles), the
+ * object that records what is in force (the fleet head), the commands that change it, and the read-only view
+ * that routing decisions use.
  */
 #pragma once
 
--- a/src/bundle/bundle_check.cpp
+++ b/src/bundle/bundle_check.cpp
@@ -42,7 +42,7 @@
     valijson::ValidationResults::Error failure;
     while (results.popError(failure)) {
         found.push_back({join_path(failure.context), failure.description,
-                         "see schema/bundle.schema.json for what may stand here"});
+                         "see schema/bundle.schema.json for the permitted content"});
     }
     return found;
 }
@@ -52,7 +52,8 @@
     std::set<std::string> seen;
     for (const auto& item : items) {
         if (!seen.insert(name_of(item)).second) {
-            found.push_back({path, "\"" + name_of(item) + "\" stands twice", "keep one of them"});
+            found.push_back(
+                {path, "\"" + name_of(item) + "\" occurs more than once", "remove the duplicates"});
         }
     }
 }
@@ -65,7 +66,7 @@
             {path, "there is no pool \"" + pool + "\"", "add it under /pools or correct the name"});
     } else if (entry->kind != kind) {
         found.push_back(
-            {path, "pool \"" + pool + "\" is of kind " + entry->kind, "name a pool of kind " + kind});
+            {path, "pool \"" + pool + "\" is of kind " + entry->kind, "use a pool of kind " + kind});
     }
 }
 
@@ -74,7 +75,7 @@
     for (std::size_t i = 0; i < versions.size(); ++i) {
         if (find_model(document, versions[i]) == nullptr) {
             found.push_back({path + "/" + std::to_string(i), "there is no model \"" + versions[i] + "\"",
-                             "add it under /models or write an existing model@version"});
+                             "add it under /models or use an existing model@version"});
         }
     }
 }
@@ -88,8 +89,8 @@
             continue;
         }
         if (model->cost_per_1k_tokens < last_cost) {
-            found.push_back({path, "\"" + version + "\" costs less than the step before it",
-                             "order the ladder from cheap to costly"});
+            found.push_back({path, "\"" + version + "\" costs less than the version before it",
+                             "order the ladder by increasing cost"});
         }
         last_cost = model->cost_per_1k_tokens;
     }
@@ -102,7 +103,7 @@
     check_versions(document, team.allow, path + "/allow", found);
     check_ladder_order(document, team, path + "/ladder", found);
     if (team.ladder.empty() && team.services.empty()) {
-        found.push_back({path, "the team may use nothing", "give it a ladder or services"});
+        found.push_back({path, "the team has neither a ladder nor services", "add a ladder or services"});
     }
     for (const std::string& service : team.services) {
         if (find_service(document, service) == nullptr) {
@@ -116,7 +117,8 @@
     double last_share = 0;
     for (const rollout_step& step : plan.steps) {
         if (step.share <= last_share) {
-            found.push_back({"/rollout/steps", "the shares do not grow", "order the steps by growing share"});
+            found.push_back(
+                {"/rollout/steps", "the shares do not increase", "order the steps by increasing share"});
         }
         last_share = step.share;
     }
@@ -124,8 +126,10 @@
         found.push_back({"/rollout/steps", "the last share is not 1", "end with a step of share 1"});
     }
     if (plan.tolerated_drop >= plan.braked_drop) {
-        found.push_back({"/rollout", "tolerated_drop is not below braked_drop",
-                         "leave a gap: the brake needs it to tell good from bad"});
+        found.push_back(
+            {"/rollout", "tolerated_drop is not below braked_drop",
+             "set tolerated_drop below braked_drop: the brake needs the gap to tell good versions "
+             "from bad ones"});
     }
 }
 
@@ -180,7 +184,7 @@
     if (found.empty()) {
         return document.get<bundle>();
     }
-    std::string message = "the bundle has " + std::to_string(found.size()) + " fault(s):";
+    std::string message = "the bundle has " + std::to_string(found.size()) + " error(s):";
     for (const bundle_fault& fault : found) {
         message += "\n  " + fault.path + ": " + fault.message + "; " + fault.remedy;
     }
--- a/src/bundle/bundle_check.h
+++ b/src/bundle/bundle_check.h
@@ -1,6 +1,6 @@
 /** \file
- * Defines the checks of a bundle document: first its shape against the published JSON Schema
- * (schema/bundle.schema.json), then its meaning. All faults are reported at once.
+ * Defines the validation of a bundle document: first its structure against the published JSON Schema
+ * (schema/bundle.schema.json), then its semantics. All errors of the failing stage are reported at once.
  */
 #pragma once
 
@@ -8,7 +8,7 @@
 
 namespace laurelhoist {
 
-/** One fault of a document: where it is, what is wrong, how to mend it. */
+/** One error in a document: its path, what is wrong and how to fix it. */
 struct bundle_fault {
     std::string path;
     std::string message;
@@ -19,10 +19,11 @@
 /** \return the text of the published JSON Schema. */
 const std::string& bundle_schema_text();
 
-/** \return every fault of \p document in shape or meaning; empty if it can be submitted. */
+/** \return the structural errors of \p document or, if there are none, the semantic ones; empty if it is
+ * valid. */
 std::vector<bundle_fault> check_bundle(const json& document);
 
-/** \return the bundle in \p document, or one error that lists every fault. */
+/** \return the bundle in \p document, or one error that lists everything \ref check_bundle reports. */
 outcome<bundle> parse_bundle(const json& document);
 
 } // namespace laurelhoist
--- a/src/bundle/fleet_head.cpp
+++ b/src/bundle/fleet_head.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/** Works on a copy of the head; each command has one member. */
+/** Applies one command to a copy of the head; each kind of command has one member function. */
 class head_editor {
 public:
     head_editor(fleet_head head, const fleet_command& command, const chart& lifecycle)
@@ -70,7 +70,7 @@
 void head_editor::submit() {
     const auto found = head_.bundles.find(command_.bundle_id);
     if (found != head_.bundles.end() && found->second.sha256 != command_.sha256) {
-        fail("a bundle \"" + command_.bundle_id + "\" with other content exists; give this one a new id");
+        fail("a bundle \"" + command_.bundle_id + "\" with different content already exists; use a new id");
         return;
     }
     if (found == head_.bundles.end()) {
@@ -81,8 +81,8 @@
 void head_editor::sign_off() {
     const auto found = head_.bundles.find(command_.bundle_id);
     if (found != head_.bundles.end() && found->second.sha256 != command_.sha256) {
-        fail("the content submitted has hash " + found->second.sha256 + ", not " + command_.sha256 +
-             "; read it again before signing off");
+        fail("the submitted content has the hash " + found->second.sha256 + ", not " + command_.sha256 +
+             "; review it again before signing off");
         return;
     }
     apply_event("sign_off");
@@ -93,7 +93,7 @@
 
 void head_editor::roll() {
     if (!head_.rolling.empty() && head_.rolling != command_.bundle_id) {
-        fail("bundle \"" + head_.rolling + "\" is under roll-out; finish or withdraw it first");
+        fail("bundle \"" + head_.rolling + "\" is being rolled out; finish or withdraw it first");
         return;
     }
     apply_event("roll");
@@ -157,7 +157,7 @@
 
 void head_editor::block_versions(std::map<version_name, version_stop>& stopped) {
     if (command_.versions.empty()) {
-        fail("no version is named; write it as model@version");
+        fail("no version is given; write it as model@version");
     }
     for (const version_name& version : command_.versions) {
         stopped.emplace(version, version_stop{command_.by, command_.at_ms, command_.reason});
@@ -177,8 +177,8 @@
 }
 
 void head_editor::add_steward() {
-    // One steward joins or leaves a revision, so that any majority of the list before shares a member
-    // with any majority of the list after.
+    // Each revision adds, replaces or removes at most one steward, so that any majority of the old list has a
+    // member in common with any majority of the new list.
     std::vector<steward_record>& list = head_.stewards;
     const auto same = std::find_if(list.begin(), list.end(), [this](const steward_record& s) {
         return s.name == command_.steward.name;
@@ -196,7 +196,7 @@
         return s.incarnation == command_.steward.incarnation;
     });
     if (kept == list.end()) {
-        fail("steward " + command_.steward.name + " is not on the list");
+        fail("steward " + command_.steward.name + " is not in the list of stewards");
     }
     list.erase(kept, list.end());
 }
@@ -247,9 +247,9 @@
         other = "\"" + last.what + "\" by " + last.by + " at " + std::to_string(last.at_ms) +
                 " ms (revision " + std::to_string(last.revision) + ")";
     }
-    return {error_kind::conflict, "decided on revision " + std::to_string(command.expected_revision) +
-                                      ", but " + other +
-                                      " came first; look at laurelctl status and decide again"};
+    return {error_kind::conflict, "the command is based on revision " +
+                                      std::to_string(command.expected_revision) + ", but " + other +
+                                      " was applied first; check laurelctl status and try again"};
 }
 
 } // namespace
--- a/src/bundle/fleet_head.h
+++ b/src/bundle/fleet_head.h
@@ -1,10 +1,10 @@
 /** \file
- * Defines the fleet head: the one small object in the platform that says what is in force, and the
- * commands that change it.
+ * Defines the fleet head, the small object in the platform that records which configuration is in force,
+ * and the commands that change it.
  *
- * Everything mutable stands in this one object, so that a change is one conditional update, revisions are
- * totally ordered, and no reader can ever see half of a change. Bundles are immutable objects that the
- * head names by content hash.
+ * All mutable state is in this one object, so that every change is a single conditional update, revisions
+ * are totally ordered, and no reader sees a partial change. Bundles are immutable objects that the head
+ * refers to by content hash.
  */
 #pragma once
 
@@ -16,28 +16,28 @@
 
 namespace laurelhoist {
 
-/** Who changed something, and which write it was. */
+/** The author, time and description of one change, and the identity of its write. */
 struct change_record {
     std::int64_t revision = 0;
     std::string by;
-    std::int64_t at_ms = 0; ///< wall clock, for people
+    std::int64_t at_ms = 0; ///< wall clock, for display only
     std::string what;
-    std::string nonce; ///< identifies the write, so that a lost answer can be settled by reading back
+    std::string nonce; ///< identifies the write: after a lost response, a read shows whether it succeeded
 };
 LAUREL_VALUE_TYPE(change_record, revision, by, at_ms, what, nonce)
 
-/** Where a bundle is in its lifecycle (charts/bundle.scxml). */
+/** The state of a bundle in its lifecycle (charts/bundle.scxml) and in its roll-out. */
 struct bundle_status {
     std::string sha256;
     std::string state;
     std::string signed_by;
-    int step = -1;      ///< index of the roll-out step in force; -1: capacity is being loaded
-    double share = 0.0; ///< of the sessions, while rolling or paused
-    int epoch = 0;      ///< grows at each roll and resume; evidence of an earlier epoch does not count
+    int step = -1; ///< index of the current roll-out step; -1 before the first, while engines load its models
+    double share = 0.0; ///< share of the sessions that the bundle serves while rolling or paused
+    int epoch = 0;      ///< incremented at each roll and resume; evidence of earlier epochs is ignored
 };
 LAUREL_VALUE_TYPE(bundle_status, sha256, state, signed_by, step, share, epoch)
 
-/** Why a version may not be used. */
+/** Who stopped the use of a version, when and why. */
 struct version_stop {
     std::string by;
     std::int64_t at_ms = 0;
@@ -45,31 +45,33 @@
 };
 LAUREL_VALUE_TYPE(version_stop, by, at_ms, reason)
 
-/** A steward that counts when a majority is asked. */
+/** A steward that is a member of the quorum. */
 struct steward_record {
-    std::string incarnation; ///< new at each start: a restarted steward has forgotten and must not count
+    std::string incarnation; ///< new at each start: a restarted steward has lost its state and must not count
     std::string name;
     std::string address;
     std::string domain;
 };
 LAUREL_VALUE_TYPE(steward_record, incarnation, name, address, domain)
 
-/** What is in force. */
+/** The configuration in force and the most recent changes. */
 struct fleet_head {
     std::int64_t revision = 0;
-    std::vector<change_record> changes; ///< the latest first, at most \ref max_kept_changes
+    std::vector<change_record> changes; ///< latest first, at most \ref max_kept_changes
     std::map<std::string, bundle_status> bundles;
-    std::string established;                        ///< id of the bundle that serves what no roll-out takes
-    std::string rolling;                            ///< id of the bundle under roll-out, or empty
-    std::map<version_name, version_stop> withdrawn; ///< grows only
-    std::map<version_name, version_stop> braked;
+    std::string established; ///< id of the bundle that serves all sessions outside a roll-out
+    std::string rolling;     ///< id of the bundle that is being rolled out, or empty
+    std::map<version_name, version_stop>
+        withdrawn; ///< versions withdrawn for good; entries are never removed
+    std::map<version_name, version_stop>
+        braked; ///< versions stopped by the brake; a resume may remove entries
     std::vector<steward_record> stewards;
 };
 LAUREL_VALUE_TYPE(fleet_head, revision, changes, bundles, established, rolling, withdrawn, braked, stewards)
 
 constexpr std::size_t max_kept_changes = 32;
 
-/** What a command does. */
+/** The kinds of commands. */
 enum class command_kind {
     submit,
     sign_off,
@@ -97,36 +99,37 @@
                                             {command_kind::add_steward, "add_steward"},
                                             {command_kind::remove_steward, "remove_steward"}})
 
-/** A change that an operator or a steward asks for. */
+/** A change requested by an operator or a steward. */
 struct fleet_command {
     command_kind kind = command_kind::submit;
     std::string by;
     std::string nonce;
     std::int64_t at_ms = 0;
-    /** The revision that the decision was taken on; the command fails if the head has moved on. */
+    /** The revision that the decision is based on; the command fails if the head has another one. */
     std::int64_t expected_revision = 0;
     std::string bundle_id;
-    std::string sha256;                 ///< submit, sign_off
-    std::vector<version_name> versions; ///< withdraw_version, brake
+    std::string sha256;                 ///< of submit and sign_off
+    std::vector<version_name> versions; ///< of withdraw_version, brake and resume
     std::string reason;
-    int step = 0;           ///< step
-    double share = 0.0;     ///< step
-    steward_record steward; ///< add_steward, remove_steward (by incarnation)
+    int step = 0;           ///< of the kind step: index in the roll-out plan
+    double share = 0.0;     ///< of the kind step: the new share of sessions
+    steward_record steward; ///< of add_steward (replaces by name) and remove_steward (matches by incarnation)
 };
 LAUREL_VALUE_TYPE(fleet_command, kind, by, nonce, at_ms, expected_revision, bundle_id, sha256, versions,
                   reason, step, share, steward)
 
-/** Works out the head after \p command, without side effects.
- * \param lifecycle the chart of a bundle's lifecycle (charts/bundle.scxml)
- * \return the next head, or a conflict that shows the other change, or why the command is not possible */
+/** Computes the head that results from \p command, without side effects.
+ * \param lifecycle the state chart of a bundle (charts/bundle.scxml)
+ * \return the next head, or a conflict error that names the other change or why the command is not possible
+ */
 outcome<fleet_head> apply_command(const fleet_head& head, const fleet_command& command,
                                   const chart& lifecycle);
 
-/** \return whether the write with \p nonce is among the changes that \p head remembers. */
+/** \return whether the write with \p nonce is among the recorded changes of \p head. */
 bool contains_change(const fleet_head& head, const std::string& nonce);
 
-/** \return whether moving from \p from to \p to keeps the promises of configuration: a higher revision,
- * and no withdrawal taken back. */
+/** \return whether \p to is a valid successor of \p from: it has a higher revision and keeps every
+ * withdrawal. */
 bool is_successor(const fleet_head& from, const fleet_head& to);
 
 } // namespace laurelhoist
--- a/src/chart/chart.cpp
+++ b/src/chart/chart.cpp
@@ -95,7 +95,9 @@
     for (const pugi::xml_node& node : root.children()) {
         const std::string kind = node.name();
         if (kind != "state" && kind != "final") {
-            return chart_error(name, "<" + kind + "> is outside the subset; use <state> and <final>");
+            return chart_error(
+                name,
+                "<" + kind + "> is outside the subset of SCXML that is supported; use <state> and <final>");
         }
         definition.states_[node.attribute("id").value()] = read_transitions(node);
         if (kind == "final") {
@@ -127,8 +129,9 @@
         }
         possible += (possible.empty() ? "" : ", ") + transition.event;
     }
-    return error{error_kind::conflict, "\"" + event + "\" is not possible while the state is \"" + state +
-                                           "\"; possible now: " + (possible.empty() ? "nothing" : possible)};
+    return error{error_kind::conflict,
+                 "\"" + event + "\" is not possible in the state \"" + state +
+                     "\"; possible events: " + (possible.empty() ? "nothing" : possible)};
 }
 
 chart load_chart_or_exit(const std::string& directory, const std::string& name) {
--- a/src/chart/chart.h
+++ b/src/chart/chart.h
@@ -1,7 +1,7 @@
 /** \file
- * The one public header of the chart library: state charts read from files (a subset of W3C SCXML) and
- * interpreted. A chart says which events are legal in which state and names the guard and the action of
- * each transition; the program supplies guards and actions as tables of member pointers.
+ * Public header of the chart library: state charts that are read from files (a subset of W3C SCXML) and
+ * interpreted. A chart defines which events are possible in which state and names the guard and the action
+ * of each transition; the program supplies guards and actions as tables of member pointers.
  *
  * The subset: `<scxml initial>`, flat `<state id>` and `<final id>`, and
  * `<transition event target cond><script>action</script></transition>`, tried in document order.
@@ -16,7 +16,7 @@
 
 namespace laurelhoist {
 
-/** One transition as the file states it; empty \c guard or \c action means none. */
+/** One transition as read from the file; an empty \c guard or \c action means that it has none. */
 struct chart_transition {
     std::string event;
     std::string target;
@@ -24,12 +24,12 @@
     std::string action;
 };
 
-/** A chart that has been read and checked: every target exists and every state can be reached. */
+/** A validated chart: every target exists and every state can be reached. */
 class chart {
 public:
     /** Reads and checks the chart in the file \p path. */
     static outcome<chart> load(const std::string& path);
-    /** Reads and checks the chart in \p text; \p name stands in errors. */
+    /** Reads and checks the chart in \p text; \p name identifies it in errors. */
     static outcome<chart> parse(const std::string& text, const std::string& name);
 
     const std::string& name() const { return name_; }
@@ -39,7 +39,7 @@
     const std::vector<chart_transition>& transitions_of(const std::string& state) const;
     const std::map<std::string, std::vector<chart_transition>>& states() const { return states_; }
     /** \return the target of the first transition of \p state for \p event, or an error that lists the
-     * events possible there. For charts without guards. */
+     * events that are possible there. Guards are ignored, so it is meant for charts without them. */
     outcome<std::string> next(const std::string& state, const std::string& event) const;
 
 private:
@@ -49,13 +49,13 @@
     std::vector<std::string> finals_;
 };
 
-/** Reads the chart \p name from directory \p directory; ends the process with a remedy if it is bad. */
+/** Reads the chart \p name from directory \p directory; ends the process with an error message if it is
+ * invalid. */
 chart load_chart_or_exit(const std::string& directory, const std::string& name);
 
-/** A chart bound to the guards and actions of \p Host, which work on a \p Context.
+/** A chart bound to the guards and actions of \p Host, which operate on a \p Context.
  *
- * Binding fails if the chart names a guard or action that the tables lack, or the tables hold one that
- * the chart never uses, so that a chart and its program cannot drift apart. */
+ * The constructor throws std::invalid_argument if the chart names a guard or action that the tables lack. */
 template <class Host, class Context>
 class bound_chart {
 public:
@@ -75,9 +75,9 @@
 
     const chart& definition() const { return definition_; }
 
-    /** Takes the first transition of \p context.state for \p event whose guard holds: the state changes
-     * first, then the action runs (and may fire further events).
-     * \return false, with nothing done, if the event is not possible in this state. */
+    /** Takes the first transition of \p context.state for \p event whose guard holds. The state changes
+     * before the action runs, so the action may fire further events.
+     * \return false, without any effect, if the event is not possible in this state. */
     bool fire(Host& host, Context& context, const std::string& event) const {
         const auto state = bound_.find(context.state);
         if (state == bound_.end()) {
@@ -115,7 +115,7 @@
         const auto found = table.find(name);
         if (found == table.end()) {
             throw std::invalid_argument("chart " + definition_.name() + " names \"" + name +
-                                        "\", which the program does not have; correct the chart's file");
+                                        "\", which the program does not define; correct the chart file");
         }
         return found->second;
     }
--- a/src/ledger/bill_outbox.h
+++ b/src/ledger/bill_outbox.h
@@ -1,6 +1,7 @@
 /** \file
- * Defines the entry's side of billing: a record is kept, and sent again, until a steward says that the
- * platform holds it; an answer may be released once enough hosts in other failure domains hold a copy.
+ * Defines the outbox of billing records: a record is kept until the platform has stored it (drained), and
+ * sent again to stewards until enough failure domains have acknowledged a copy. An entry releases an answer
+ * only then; a steward uses an outbox to hand its records to other stewards before it stops.
  */
 #pragma once
 
@@ -11,28 +12,32 @@
 
 namespace laurelhoist {
 
+/// Failure domains that should hold a copy, so that a record survives the loss of any one of them.
 constexpr std::size_t target_bill_copies = 2;
 
-/** The records of one entry that are not yet known to be in the platform. */
+/** The records of one host that are not yet known to be stored in the platform. */
 class bill_outbox {
 public:
-    /** Adds a record; nothing happens if its key is already here. */
+    /** Adds a record, unless one with the same key is present. */
     void add(const bill_record& record, time_point now);
-    /** Notes that the steward \p holder in \p domain holds the record \p key. */
+    /** Records that the steward \p holder in \p domain has acknowledged a copy of the record \p key. */
     void on_copy_stored(const bill_key& key, const std::string& holder, const std::string& domain);
-    /** Forgets copies that died with the steward \p holder, so that the records are sent again. */
+    /** Discards the copies of the lost steward \p holder, so that their records are sent again. */
     void on_holder_lost(const std::string& holder);
-    /** Notes that the platform holds the record; it is dropped here. */
+    /** Removes the record \p key, which the platform has stored. */
     void on_drained(const bill_key& key);
 
-    /** \return how many failure domains hold a copy of \p key; a drained one counts as safe. */
+    /** \return how many failure domains hold a copy of \p key; \ref target_bill_copies if it is not (or no
+     * longer) in the outbox. */
     std::size_t copies(const bill_key& key) const;
     bool contains(const bill_key& key) const { return entries_.count(key) > 0; }
-    /** \return records that \p holder has not acknowledged, that still want copies, that are at least
-     * \p min_age old, and that were last sent to it \p resend_after ago; marks them as sent now. */
+    /** Selects the records that have fewer than \ref target_bill_copies copies, have been here for at least
+     * \p min_age, are not acknowledged by \p holder, and were never sent to it or at least \p resend_after
+     * ago. Marks them as sent at \p now. \return the records to send to \p holder. */
     std::vector<bill_record> take_records_to_send(const std::string& holder, time_point now,
                                                   duration resend_after, duration min_age = duration::zero());
-    /** \return the copies of the record that has fewest; the wanted number if there is none. */
+    /** \return the lowest number of copies of any record, at most \ref target_bill_copies, which is also the
+     * value for an empty outbox. */
     std::size_t min_copies() const;
     std::size_t size() const { return entries_.size(); }
 
--- a/src/ledger/bill_types.h
+++ b/src/ledger/bill_types.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines the bill of one request.
+ * Defines the billing record of one request.
  */
 #pragma once
 
@@ -7,16 +7,16 @@
 
 namespace laurelhoist {
 
-/** One billed request. Costs are whole micro-units, so that sums do not depend on their order. */
+/** One billed request. Costs are integers, so that sums do not depend on the order of addition. */
 struct bill_record {
     std::string team;
     std::string request_id;
     std::string version; ///< model@version of the answer, or service/path
     std::string kind;
-    int tier = 0;
+    int tier = 0; ///< index of the answer's version in the team's ladder
     std::int64_t tokens = 0;
-    std::int64_t cost_micro = 0; ///< of every attempt that the request needed
-    double score = -1.0;         ///< rating of the released answer, negative if it was not rated
+    std::int64_t cost_micro = 0; ///< total cost of all attempts, in millionths of the currency unit
+    double score = -1.0;         ///< rating of the released answer; negative if it was not rated
     std::int64_t latency_ms = 0;
     std::string entry;
     std::int64_t at_ms = 0; ///< wall clock
@@ -24,7 +24,7 @@
 LAUREL_VALUE_TYPE(bill_record, team, request_id, version, kind, tier, tokens, cost_micro, score, latency_ms,
                   entry, at_ms)
 
-/** What makes two records the same bill. */
+/** The identity of a bill: records with the same key are copies of one bill. */
 struct bill_key {
     std::string team;
     std::string request_id;
--- a/src/ledger/ledger.h
+++ b/src/ledger/ledger.h
@@ -1,9 +1,9 @@
 /** \file
- * The one public header of the ledger library: what is billed, how a record survives until the platform
- * has it, and how claims make a non-idempotent request run at most once.
+ * Public header of the ledger library: billing records, their replication until the platform has stored
+ * them, and the claims by which a non-idempotent request runs at most once.
  *
- * The ledger is a set of records keyed by team and request. Adding a record twice changes nothing, so
- * every hand-over may be repeated after a lost answer, and "exactly once" needs only "at least once".
+ * The ledger is a set of records keyed by team and request. Adding a record twice has no effect, so every
+ * transfer may be retried after a lost acknowledgement: at-least-once delivery gives exactly-once billing.
  */
 #pragma once
 
--- a/src/ledger/ledger_book.cpp
+++ b/src/ledger/ledger_book.cpp
@@ -4,8 +4,8 @@
 
 namespace {
 
-// Two copies of one key differ only if the caller's key was run by two entries (allowed for idempotent
-// requests). Every reader must then choose the same one, whatever order it reads in.
+// Two records with the same key differ only if two entries ran the request of that key, which is allowed for
+// idempotent requests. Every reader must then choose the same record, regardless of the reading order.
 bool is_preferred(const bill_record& candidate, const bill_record& kept) {
     return std::tie(candidate.cost_micro, candidate.at_ms, candidate.entry) <
            std::tie(kept.cost_micro, kept.at_ms, kept.entry);
--- a/src/ledger/ledger_book.h
+++ b/src/ledger/ledger_book.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines the reader of the ledger: the union of all segments by key.
+ * Defines the in-memory ledger that is built from segments: the union of their records by key.
  */
 #pragma once
 
@@ -7,7 +7,7 @@
 
 namespace laurelhoist {
 
-/** Sum of one team's bills. */
+/** Totals over the bills of one team. */
 struct team_total {
     std::int64_t requests = 0;
     std::int64_t tokens = 0;
@@ -15,29 +15,29 @@
 };
 LAUREL_VALUE_TYPE(team_total, requests, tokens, cost_micro)
 
-/** What became of a team's requests, counted since an entry started or within one minute. */
+/** Outcomes of the requests of one team, counted since an entry started or within one minute. */
 struct team_counts {
-    std::int64_t asked = 0;
-    std::int64_t whole = 0;   ///< answered whole
+    std::int64_t asked = 0;   ///< all requests
+    std::int64_t whole = 0;   ///< answered completely
     std::int64_t refused = 0; ///< not run
-    std::int64_t failed = 0;  ///< ran, or may have run, without a whole answer
+    std::int64_t failed = 0;  ///< ran, or may have run, without a complete answer
 };
 LAUREL_VALUE_TYPE(team_counts, asked, whole, refused, failed)
 
-/** The counts of one minute as one steward saw them; an immutable object of the platform. */
+/** The counts of one minute that one steward collected; stored as an immutable platform object. */
 struct counts_bucket {
-    std::int64_t minute = 0; ///< since 1970
+    std::int64_t minute = 0; ///< minutes since 1970
     std::map<std::string, team_counts> teams;
 };
 LAUREL_VALUE_TYPE(counts_bucket, minute, teams)
 
-/** The ledger as read from segments; adding a segment twice changes nothing. */
+/** The ledger as read from segments. Adding a segment twice does not change the records. */
 class ledger_book {
 public:
     void add(const ledger_segment& segment);
 
     const std::map<bill_key, bill_record>& records() const { return records_; }
-    /** \return how many copies were duplicates away; each stewards' copy of a record adds one. */
+    /** \return how many added records had a key that was already present. */
     std::int64_t duplicates() const { return duplicates_; }
     std::map<std::string, team_total> totals() const;
 
--- a/src/ledger/segment_buffer.cpp
+++ b/src/ledger/segment_buffer.cpp
@@ -3,8 +3,9 @@
 namespace laurelhoist {
 
 namespace {
+/// Above this size, the set of recently drained keys is cleared.
 constexpr std::size_t max_remembered_keys = 20000;
-}
+} // namespace
 
 bool segment_buffer::add(const bill_record& record) {
     const bill_key key = key_of(record);
--- a/src/ledger/segment_buffer.h
+++ b/src/ledger/segment_buffer.h
@@ -1,6 +1,6 @@
 /** \file
- * Defines the steward's side of billing: records wait in memory and are written to the platform as
- * sealed segments, many records a write.
+ * Defines the buffer in which a steward collects billing records before it writes them to the platform in
+ * batches, called segments.
  */
 #pragma once
 
@@ -12,29 +12,32 @@
 
 namespace laurelhoist {
 
-constexpr std::size_t max_segment_records = 2000;   ///< some 400 KB of JSON, below the platform's 1 MB
-constexpr std::size_t max_waiting_records = 200000; ///< bounds a steward's memory in a long outage
+constexpr std::size_t max_segment_records =
+    2000; ///< about 400 KB of JSON, below the platform's limit of 1 MB
+constexpr std::size_t max_waiting_records =
+    200000; ///< bounds the memory of a steward during a long platform outage
 
-/** A segment on its way to the platform: an immutable object under its own name. */
+/** A batch of records that is written to the platform as one immutable object. */
 struct ledger_segment {
     std::string name;
     std::vector<bill_record> records;
 };
 LAUREL_VALUE_TYPE(ledger_segment, name, records)
 
-/** The undrained records of one steward. */
+/** The records of one steward that the platform has not stored yet. */
 class segment_buffer {
 public:
-    /** \param incarnation makes segment names that no other steward or start can use */
+    /** \param incarnation part of the segment names, which makes them unique across stewards and restarts */
     explicit segment_buffer(std::string incarnation) : incarnation_{std::move(incarnation)} {}
 
-    /** Holds \p record. \return false, holding nothing, if the buffer is full. */
+    /** Buffers \p record, unless it is buffered or was drained recently.
+     * \return false if the buffer is full and does not accept it */
     bool add(const bill_record& record);
-    /** \return the segment that is being written, sealing a new one if none is and records wait. The same
-     * segment is returned until \ref on_written, so that a write whose answer was lost is repeated with
-     * the same name and content. */
+    /** \return the segment that is being written; if there is none, a new one of the waiting records, or
+     * nothing if none wait. The same segment is returned until \ref on_written, so that a write whose
+     * response was lost is retried with the same name and content. */
     std::optional<ledger_segment> current();
-    /** Notes that the platform holds the segment \p name. \return the records now drained. */
+    /** Records that the platform has stored the segment \p name. \return the records in it. */
     std::vector<bill_record> on_written(const std::string& name);
 
     std::size_t waiting() const { return waiting_.size() + (sealed_ ? sealed_->records.size() : 0); }
--- a/src/traffic/config_fence.h
+++ b/src/traffic/config_fence.h
@@ -1,12 +1,13 @@
 /** \file
- * Defines the fence against withdrawn keys: up to which moment a host knows the configuration, and whether
- * that suffices for a request.
+ * Defines the freshness check of the configuration: when a host last knew its configuration to be current,
+ * and whether that is recent enough to accept a request with an API key.
  *
- * A key that was withdrawn must not be honoured longer than the revocation bound, also at a host that is
- * cut off and hears of no withdrawal. So a keyed request is run only if the configuration was confirmed
- * recently enough before it arrived. Example: bound 5 s, margin 0.3 s; last confirmed at 10.0 s. A request
- * that arrives at 14.6 s runs; one at 14.8 s is refused, because a key withdrawn at 10.0 s might by then
- * have been dead for longer than the bound when the request was sent.
+ * A withdrawn key must not be accepted for longer than the revocation bound, even by a host that is
+ * partitioned and does not learn of the withdrawal. Therefore a request with a key runs only if the
+ * configuration was confirmed recently enough before the request arrived. Example: with a bound of 5 s, a
+ * margin of 0.3 s and the last confirmation at 10.0 s, a request that arrives at 14.6 s runs. One that
+ * arrives at 14.8 s is refused, because its key may have been withdrawn just after 10.0 s, and less than the
+ * margin is left of the bound.
  */
 #pragma once
 
@@ -16,21 +17,22 @@
 
 namespace laurelhoist {
 
+/** The time up to which a host knows its configuration to be current. */
 class config_freshness {
 public:
-    /** \param bound for how long after its withdrawal a key may still be honoured
-     * \param margin kept for the caller's link and the rate of clocks */
+    /** \param bound how long a key may still be accepted after its withdrawal
+     * \param margin safety margin for the latency to the caller and for clock drift */
     config_freshness(duration bound, duration margin) : bound_{bound}, margin_{margin} {}
 
-    /** Notes that the configuration in force was the newest at \p as_of; never moves back. */
+    /** Records that the configuration in force was the newest at \p as_of; earlier times have no effect. */
     void confirm(time_point as_of) {
         confirmed_at_ = confirmed_at_ ? std::max(*confirmed_at_, as_of) : as_of;
     }
-    /** \return whether a keyed request that arrived at \p arrival may run. */
+    /** \return whether a request with a key that arrived at \p arrival may run. */
     bool admits(time_point arrival) const {
         return confirmed_at_ && *confirmed_at_ + bound_ - margin_ > arrival;
     }
-    /** \return how old the knowledge is at \p now; the largest duration if nothing was ever confirmed. */
+    /** \return the time since the last confirmation; the largest duration if there was none. */
     duration age(time_point now) const { return confirmed_at_ ? now - *confirmed_at_ : duration::max(); }
 
 private:
--- a/src/traffic/traffic.h
+++ b/src/traffic/traffic.h
@@ -1,6 +1,6 @@
 /** \file
- * The one public header of the traffic library: the configuration that the relay serves by, its lookups and
- * the fence against withdrawn keys.
+ * Public header of the traffic library: the configuration of the relay, its lookups, and the freshness check
+ * that bounds the use of withdrawn keys.
  */
 #pragma once
 
--- a/test/base_test.cpp
+++ b/test/base_test.cpp
@@ -38,14 +38,16 @@
     }
 }
 
-TEST(error, body_names_kind_remedy_and_whether_it_ran) {
-    const json body = to_error_body({error_kind::queue_full, "come back", ran_state::no, 250}, "req-1");
+// Callers decide from this body whether and when to retry.
+TEST(error, body_contains_kind_delay_and_whether_the_request_ran) {
+    const json body = to_error_body({error_kind::queue_full, "try again later", ran_state::no, 250}, "req-1");
     EXPECT_EQ(body["error"]["kind"], "queue_full");
     EXPECT_EQ(body["error"]["ran"], "no");
     EXPECT_EQ(body["error"]["retry_after_ms"], 250);
     EXPECT_EQ(http_status(error_kind::queue_full), 429);
 }
 
+// Production continues after a violation, whereas tests stop at it.
 TEST(invariant, a_violation_is_counted_and_can_throw) {
     invariant_registry& registry = invariant_registry::instance();
     const std::uint64_t before = registry.broken();
@@ -56,6 +58,7 @@
     registry.throw_on_failure(false);
 }
 
+// The quantiles are estimates, so the exact values are compared with a tolerance.
 TEST(metrics, quantiles_of_a_known_distribution) {
     distribution values;
     for (int i = 1; i <= 10000; ++i) {
@@ -66,6 +69,7 @@
     EXPECT_EQ(values.count(), 10000U);
 }
 
+// A misspelled name must be rejected: an experiment would otherwise run with all mechanisms enabled.
 TEST(mechanisms, mechanisms_are_disabled_by_name) {
     const std::optional<mechanisms> made = without_mechanisms("vouches,shared_homes");
     ASSERT_TRUE(made);
@@ -75,7 +79,7 @@
     EXPECT_FALSE(without_mechanisms("vouches,flying"));
     EXPECT_TRUE(without_mechanisms(""));
     const std::optional<mechanisms> none = without_mechanisms(mechanism_names());
-    ASSERT_TRUE(none) << "every name that is listed is known";
+    ASSERT_TRUE(none) << "a listed name is not accepted";
     EXPECT_FALSE(none->suspects_releases);
 }
 
--- a/test/bundle_test.cpp
+++ b/test/bundle_test.cpp
@@ -45,12 +45,14 @@
 
 } // namespace
 
+// The published examples must stay valid when the schema or the semantic checks change.
 TEST(bundle_check, examples_are_valid) {
     for (const char* name : {"brazda-1.json", "brazda-2-bad.json", "brazda-3.json", "consorzio-1.json"}) {
         EXPECT_TRUE(check_bundle(load_example(name)).empty()) << name;
     }
 }
 
+// Validation must not stop at the first error, so that an operator can fix all errors of a bundle at once.
 TEST(bundle_check, every_error_is_reported_with_path_and_remedy) {
     json document = load_example("brazda-1.json");
     document["teams"][0]["ladder"] = {"savjet@1", "nacrt@1", "nacrt@9"};
@@ -65,6 +67,7 @@
     }
 }
 
+// A misspelled key would otherwise be ignored without notice.
 TEST(bundle_check, shape_is_checked_against_the_published_schema) {
     json document = load_example("brazda-1.json");
     document["tems"] = json::array();
@@ -72,16 +75,16 @@
     EXPECT_FALSE(check_bundle(json::array()).empty());
 }
 
-TEST(bundle, values_compare_and_survive_json) {
+// Bundles are stored as JSON and identified by their content hash, so neither may change in a round trip.
+TEST(bundle, values_compare_and_round_trip_through_json) {
     const auto first = load_example("brazda-1.json").get<bundle>();
     EXPECT_EQ(json(first).get<bundle>(), first);
     EXPECT_NE(first, load_example("brazda-3.json").get<bundle>());
     EXPECT_EQ(content_hash(first), content_hash(json(first).get<bundle>()));
 }
 
-// Two operators look at the same status and both decide: one pauses the roll-out, the other withdraws it a
-// moment later. Without the revision that each decided on, the second would undo the first unseen. Cause:
-// two writers, one object.
+// Two operators act on the same revision: one pauses the roll-out, the other withdraws it a moment later.
+// Without the check of the expected revision, the second command would silently override the first.
 TEST(fleet_head, a_concurrent_command_is_refused_and_names_the_other_change) {
     const fleet_head head = head_after_roll("b", head_after_roll("a"));
     const fleet_command pause = make_command(command_kind::pause, head);
@@ -93,6 +96,8 @@
     EXPECT_NE(error_of(second)->message.find("ana"), std::string::npos);
 }
 
+// A sign-off that names another content hash is refused, and a bundle without a sign-off cannot be rolled
+// out.
 TEST(fleet_head, only_the_signed_content_is_signed_off) {
     fleet_head head = apply_or_fail({}, make_command(command_kind::submit, {}));
     fleet_command sign = make_command(command_kind::sign_off, head);
@@ -101,7 +106,9 @@
     EXPECT_NE(error_of(apply_command(head, make_command(command_kind::roll, head), lifecycle())), nullptr);
 }
 
-TEST(fleet_head, brake_and_resume) {
+// A resume lifts the brake of the named versions. It starts a new epoch, so that evidence from before the
+// brake no longer counts.
+TEST(fleet_head, a_braked_bundle_resumes_in_a_new_epoch) {
     fleet_head head = head_after_roll("b", head_after_roll("a"));
     fleet_command brake = make_command(command_kind::brake, head);
     brake.versions = {"m@2"};
@@ -115,8 +122,8 @@
     EXPECT_EQ(head.bundles["b"].epoch, epoch + 1);
 }
 
-// Whatever operators do, in any order: revisions rise by one, a withdrawal stays, and at most one bundle
-// is under roll-out.
+// For random sequences of commands: each accepted one increments the revision by one and is recorded, no
+// withdrawal is lost, and at most one bundle is established.
 RC_GTEST_PROP(fleet_head, any_sequence_of_commands_keeps_the_invariants, ()) {
     fleet_head head;
     const auto count = *rc::gen::inRange(1, 60);
@@ -143,6 +150,7 @@
     }
 }
 
+// The sessions in a roll-out must match its share, and their number must not drop when the share grows.
 TEST(fleet_view, a_session_in_the_rollout_stays_in_it_as_the_share_grows) {
     fleet_head head = head_after_roll("b", head_after_roll("a"));
     const auto a = load_example("brazda-1.json").get<bundle>();
--- a/test/chart_test.cpp
+++ b/test/chart_test.cpp
@@ -32,6 +32,7 @@
 
 } // namespace
 
+// An event has an effect only if the state has a transition for it whose guard holds.
 TEST(chart, guard_and_action_run) {
     const outcome<chart> parsed = chart::parse(door, "door");
     ASSERT_NE(value_of(parsed), nullptr);
@@ -48,11 +49,13 @@
     EXPECT_FALSE(bound.fire(host, context, "no_such_event"));
 }
 
+// A guard or action that the program does not define must be detected at the start, not when it is needed.
 TEST(chart, binding_fails_if_a_handler_is_missing) {
     const outcome<chart> parsed = chart::parse(door, "door");
     EXPECT_THROW((door_chart{*value_of(parsed), {}, {{"creak", &door_host::creak}}}), std::invalid_argument);
 }
 
+// Charts are edited as files, so their errors must be reported when they are loaded.
 TEST(chart, invalid_charts_are_rejected_with_the_reason) {
     EXPECT_NE(fault_of("<scxml").find("not XML"), std::string::npos);
     EXPECT_NE(fault_of(R"(<scxml initial="a"></scxml>)").find("initial state"), std::string::npos);
@@ -67,6 +70,7 @@
               std::string::npos);
 }
 
+// An operator whose command is not possible needs to know which commands are.
 TEST(chart, an_impossible_event_lists_the_possible_ones) {
     const outcome<chart> lifecycle = chart::load(LAUREL_SOURCE_DIR "/charts/bundle.scxml");
     ASSERT_NE(value_of(lifecycle), nullptr);
@@ -75,7 +79,7 @@
     EXPECT_NE(error_of(next)->message.find("sign_off"), std::string::npos);
 }
 
-TEST(chart, every_shipped_chart_is_valid) {
+TEST(chart, shipped_charts_are_valid) {
     for (const char* name : {"bundle", "endpoint", "host", "request"}) {
         const outcome<chart> loaded =
             chart::load(std::string(LAUREL_SOURCE_DIR "/charts/") + name + ".scxml");
--- a/test/ledger_test.cpp
+++ b/test/ledger_test.cpp
@@ -17,7 +17,8 @@
 
 } // namespace
 
-// Whatever is lost, doubled or reordered on the way, the ledger is the set of its records.
+// Stewards may write a record twice and readers may read segments in any order. Both must lead to the same
+// records and totals.
 RC_GTEST_PROP(ledger_book, order_and_duplicates_do_not_change_the_ledger,
               (const std::vector<std::uint8_t>& numbers)) {
     std::vector<ledger_segment> segments;
@@ -38,8 +39,8 @@
     RC_ASSERT(forward.totals() == backward.totals());
 }
 
-// The platform takes a segment and its answer is lost; the steward must repeat the very same write, or the
-// records of two different segments under one name would be lost or doubled.
+// The platform stores a segment but its response is lost. The steward must retry exactly the same write: a
+// retry with other content under the same name would lose or duplicate records.
 TEST(segment_buffer, a_sealed_segment_is_retried_unchanged) {
     segment_buffer buffer("steward#1");
     EXPECT_TRUE(buffer.add(make_record(1)));
@@ -51,6 +52,7 @@
     EXPECT_EQ(buffer.current()->records.size(), 1U);
 }
 
+// An entry whose acknowledgement was lost sends its record again, possibly after it was written.
 TEST(segment_buffer, a_duplicate_of_a_drained_record_is_not_written_again) {
     segment_buffer buffer("steward#1");
     buffer.add(make_record(1));
@@ -59,6 +61,7 @@
     EXPECT_TRUE(buffer.is_empty());
 }
 
+// Hosts of one failure domain may fail together, so their copies of a record count as one.
 TEST(bill_outbox, copies_count_failure_domains_not_hosts) {
     bill_outbox outbox;
     outbox.add(make_record(1), {});
@@ -74,6 +77,8 @@
     EXPECT_EQ(outbox.size(), 0U);
 }
 
+// A record or its acknowledgement may be lost. The record is sent again after an interval until the holder
+// acknowledges it.
 TEST(bill_outbox, unacknowledged_records_are_sent_again) {
     bill_outbox outbox;
     const time_point begin;
@@ -85,6 +90,7 @@
     EXPECT_EQ(outbox.take_records_to_send("a", begin + seconds(9), seconds(1)).size(), 0U);
 }
 
+// Two teams may choose the same key, and a key must not add path segments to the name of its claim.
 TEST(claim, names_do_not_collide_across_teams) {
     EXPECT_NE(claim_name("a", "k"), claim_name("b", "k"));
     EXPECT_EQ(claim_name("a", "k/../x").find(".."), std::string::npos);
--- a/test/traffic_test.cpp
+++ b/test/traffic_test.cpp
@@ -20,6 +20,7 @@
     return config;
 }
 
+// Of overlapping prefixes, the most specific route applies. Hosts match regardless of port and letter case.
 TEST(routing_table, the_longest_matching_prefix_of_the_host_is_chosen) {
     const routing_table table(two_routes());
     EXPECT_EQ(table.find_route("forms.example", "/a/b/c")->name, "special");
@@ -29,6 +30,7 @@
     EXPECT_EQ(table.find_route("other.example", "/a/"), nullptr);
 }
 
+// A team may have several keys; unknown and empty keys belong to no team.
 TEST(routing_table, a_key_belongs_to_one_team) {
     const routing_table table(two_routes());
     EXPECT_EQ(table.find_team("key-2")->name, "osijek");
@@ -37,14 +39,14 @@
     EXPECT_EQ(table.find_team(""), nullptr);
 }
 
+// A host that has just started cannot know which keys were withdrawn.
 TEST(config_freshness, admits_nothing_before_the_first_confirmation) {
     const config_freshness fence(seconds(5), milliseconds(300));
     EXPECT_FALSE(fence.admits(time_point{}));
 }
 
-// A host is cut off from the store just before an operator withdraws a key. For the callers of that host the
-// key goes on working; the host cannot know better. Five seconds after the withdrawal it must not, so the
-// host has to refuse what it cannot check.
+// A host loses its connection to the store just before an operator withdraws a key, so it still accepts the
+// key. Five seconds after the withdrawal it must not: it has to refuse requests that it cannot check.
 RC_GTEST_PROP(config_freshness, a_key_withdrawn_after_the_last_confirmation_never_runs_beyond_the_bound,
               (std::uint32_t confirmed_ms, std::uint32_t withdrawn_after_ms, std::uint32_t sent_after_ms)) {
     config_freshness fence(seconds(5), milliseconds(300));
@@ -55,6 +57,7 @@
     RC_ASSERT(!fence.admits(sent));
 }
 
+// Confirmations may arrive out of order.
 TEST(config_freshness, an_older_confirmation_does_not_lower_the_freshness) {
     config_freshness fence(seconds(5), milliseconds(300));
     fence.confirm(time_point{} + seconds(10));
