--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -20,29 +20,29 @@
     return current;
 }
 
-/// Lines that wait for a slow reader; about a second of the busiest load.
-constexpr std::size_t most_buffered_bytes = 256 << 10;
-/// Written at once when so much is gathered, so that a line costs no system call of its own.
-constexpr std::size_t bytes_per_write = 4 << 10;
-/// Routine lines for each second; warnings and errors are not counted against it.
-constexpr std::uint64_t most_routine_lines = 400;
-
-/** Gathers lines and writes them to standard output without blocking. */
+/// Limit of the lines buffered for a slow reader; about one second of output at the highest load.
+constexpr std::size_t max_buffered_bytes = 256 << 10;
+/// Buffered lines are written when they reach this size, which avoids one system call per line.
+constexpr std::size_t flush_threshold_bytes = 4 << 10;
+/// Rate limit of informational lines; warnings and errors are exempt.
+constexpr std::uint64_t max_info_lines_per_second = 400;
+
+/** Buffers lines and writes them to standard output without blocking. */
 class stdout_sink : public google::LogSink {
 public:
     void send(google::LogSeverity severity, const char*, const char*, int, const struct ::tm*,
               const char* message, std::size_t length) override {
-        if (severity == google::GLOG_INFO && !takes_routine_line()) {
+        if (severity == google::GLOG_INFO && !allow_info_line()) {
             ++dropped_;
             return;
         }
-        if (buffer_.size() + length > most_buffered_bytes) {
+        if (buffer_.size() + length > max_buffered_bytes) {
             ++dropped_;
             return;
         }
         buffer_.append(message, length);
         buffer_ += '\n';
-        if (buffer_.size() >= bytes_per_write || severity != google::GLOG_INFO) {
+        if (buffer_.size() >= flush_threshold_bytes || severity != google::GLOG_INFO) {
             flush();
         }
     }
@@ -55,20 +55,20 @@
         while (!buffer_.empty()) {
             const ssize_t written = ::write(STDOUT_FILENO, buffer_.data(), buffer_.size());
             if (written <= 0) {
-                return; // The reader is slow; the lines stay until the next call.
+                return; // The reader is slow; the lines stay in the buffer until the next call.
             }
             buffer_.erase(0, static_cast<std::size_t>(written));
         }
     }
 
 private:
-    bool takes_routine_line() {
+    bool allow_info_line() {
         const std::int64_t second = wall_clock_ms() / 1000;
         if (second != second_) {
             second_ = second;
             lines_ = 0;
         }
-        return ++lines_ <= most_routine_lines;
+        return ++lines_ <= max_info_lines_per_second;
     }
 
     std::string buffer_;
@@ -78,8 +78,8 @@
 };
 
 stdout_sink& sink() {
-    static stdout_sink only;
-    return only;
+    static stdout_sink instance;
+    return instance;
 }
 
 std::string to_line(const char* level, const char* event, const json& fields) {
@@ -104,11 +104,11 @@
 void start_log_on_stdout(const char* program, const std::string& host) {
     context() = {program, host};
     FLAGS_log_prefix = false;
-    FLAGS_stderrthreshold = google::NUM_SEVERITIES; // The sink alone gets the lines.
+    FLAGS_stderrthreshold = google::NUM_SEVERITIES; // Only the sink receives the lines.
     FLAGS_logtostderr = false;
     for (const google::LogSeverity severity :
          {google::GLOG_INFO, google::GLOG_WARNING, google::GLOG_ERROR, google::GLOG_FATAL}) {
-        google::SetLogDestination(severity, ""); // No files.
+        google::SetLogDestination(severity, ""); // An empty name disables log files.
     }
     google::InitGoogleLogging(program);
     google::AddLogSink(&sink());
--- a/src/bundle/fleet_head.cpp
+++ b/src/bundle/fleet_head.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-/** Works on a copy of the head; each command has one member. */
+/** Applies one command to a copy of the head; each kind of command has one member function. */
 class head_editor {
 public:
-    head_editor(fleet_head head, const fleet_command& command, const chart& life)
-        : head_{std::move(head)}, command_{command}, life_{life} {}
+    head_editor(fleet_head head, const fleet_command& command, const chart& lifecycle)
+        : head_{std::move(head)}, command_{command}, lifecycle_{lifecycle} {}
 
     outcome<fleet_head> run();
 
@@ -25,24 +25,24 @@
     void sign_off();
     void roll();
     void step();
-    void pause() { move("pause"); }
+    void pause() { apply_event("pause"); }
     void resume();
     void finish();
     void withdraw_bundle();
-    void withdraw_version() { stop_versions(head_.withdrawn); }
+    void withdraw_version() { block_versions(head_.withdrawn); }
     void brake();
     void add_steward();
     void remove_steward();
 
-    void move(const std::string& event);
-    void stop_versions(std::map<version_name, version_stop>& stopped);
+    void apply_event(const std::string& event);
+    void block_versions(std::map<version_name, version_stop>& stopped);
     void record_change();
     void fail(const std::string& message);
     bundle_status& status() { return head_.bundles[command_.bundle_id]; }
 
     fleet_head head_;
     const fleet_command& command_;
-    const chart& life_;
+    const chart& lifecycle_;
     std::optional<error> failure_;
 };
 
@@ -52,16 +52,16 @@
     }
 }
 
-void head_editor::move(const std::string& event) {
+void head_editor::apply_event(const std::string& event) {
     const auto found = head_.bundles.find(command_.bundle_id);
     if (found == head_.bundles.end()) {
         failure_ = error{error_kind::not_found, "there is no bundle \"" + command_.bundle_id +
                                                     "\"; submit it first, or see laurelctl status"};
         return;
     }
-    const outcome<std::string> next = life_.next(found->second.state, event);
-    if (const error* not_possible = error_of(next)) {
-        fail("bundle \"" + command_.bundle_id + "\": " + not_possible->message);
+    const outcome<std::string> next = lifecycle_.next(found->second.state, event);
+    if (const error* refusal = error_of(next)) {
+        fail("bundle \"" + command_.bundle_id + "\": " + refusal->message);
         return;
     }
     found->second.state = *value_of(next);
@@ -70,22 +70,22 @@
 void head_editor::submit() {
     const auto found = head_.bundles.find(command_.bundle_id);
     if (found != head_.bundles.end() && found->second.sha256 != command_.sha256) {
-        fail("a bundle \"" + command_.bundle_id + "\" with other content exists; give this one a new id");
+        fail("a bundle \"" + command_.bundle_id + "\" with different content already exists; use a new id");
         return;
     }
     if (found == head_.bundles.end()) {
-        head_.bundles[command_.bundle_id] = {command_.sha256, life_.initial(), "", -1, 0.0, 0};
+        head_.bundles[command_.bundle_id] = {command_.sha256, lifecycle_.initial(), "", -1, 0.0, 0};
     }
 }
 
 void head_editor::sign_off() {
     const auto found = head_.bundles.find(command_.bundle_id);
     if (found != head_.bundles.end() && found->second.sha256 != command_.sha256) {
-        fail("the content submitted has hash " + found->second.sha256 + ", not " + command_.sha256 +
-             "; read it again before signing off");
+        fail("the submitted content has the hash " + found->second.sha256 + ", not " + command_.sha256 +
+             "; review it again before signing off");
         return;
     }
-    move("sign_off");
+    apply_event("sign_off");
     if (!failure_) {
         status().signed_by = command_.by;
     }
@@ -93,10 +93,10 @@
 
 void head_editor::roll() {
     if (!head_.rolling.empty() && head_.rolling != command_.bundle_id) {
-        fail("bundle \"" + head_.rolling + "\" is under roll-out; finish or withdraw it first");
+        fail("bundle \"" + head_.rolling + "\" is being rolled out; finish or withdraw it first");
         return;
     }
-    move("roll");
+    apply_event("roll");
     if (failure_) {
         return;
     }
@@ -114,13 +114,13 @@
         fail("the roll-out has already reached this step");
         return;
     }
-    move("step");
+    apply_event("step");
     status().step = command_.step;
     status().share = command_.share;
 }
 
 void head_editor::resume() {
-    move("resume");
+    apply_event("resume");
     if (failure_) {
         return;
     }
@@ -131,7 +131,7 @@
 }
 
 void head_editor::finish() {
-    move("finish");
+    apply_event("finish");
     if (failure_) {
         return;
     }
@@ -145,7 +145,7 @@
 }
 
 void head_editor::withdraw_bundle() {
-    move("withdraw");
+    apply_event("withdraw");
     if (failure_) {
         return;
     }
@@ -155,9 +155,9 @@
     }
 }
 
-void head_editor::stop_versions(std::map<version_name, version_stop>& stopped) {
+void head_editor::block_versions(std::map<version_name, version_stop>& stopped) {
     if (command_.versions.empty()) {
-        fail("no version is named; write it as model@version");
+        fail("no version is given; write it as model@version");
     }
     for (const version_name& version : command_.versions) {
         stopped.emplace(version, version_stop{command_.by, command_.at_ms, command_.reason});
@@ -165,20 +165,20 @@
 }
 
 void head_editor::brake() {
-    stop_versions(head_.braked);
+    block_versions(head_.braked);
     const auto found = head_.bundles.find(head_.rolling);
     if (found == head_.bundles.end()) {
         return;
     }
-    const outcome<std::string> next = life_.next(found->second.state, "brake");
+    const outcome<std::string> next = lifecycle_.next(found->second.state, "brake");
     if (const std::string* state = value_of(next)) {
         found->second.state = *state;
     }
 }
 
 void head_editor::add_steward() {
-    // One steward joins or leaves a revision, so that any majority of the list before shares a member
-    // with any majority of the list after.
+    // Each revision adds, replaces or removes at most one steward, so that any majority of the old list has a
+    // member in common with any majority of the new list.
     std::vector<steward_record>& list = head_.stewards;
     const auto same = std::find_if(list.begin(), list.end(), [this](const steward_record& s) {
         return s.name == command_.steward.name;
@@ -196,7 +196,7 @@
         return s.incarnation == command_.steward.incarnation;
     });
     if (kept == list.end()) {
-        fail("steward " + command_.steward.name + " is not on the list");
+        fail("steward " + command_.steward.name + " is not in the list of stewards");
     }
     list.erase(kept, list.end());
 }
@@ -208,8 +208,8 @@
                              (command_.steward.name.empty() ? "" : " " + command_.steward.name);
     head_.changes.insert(head_.changes.begin(),
                          {head_.revision, command_.by, command_.at_ms, what, command_.nonce});
-    if (head_.changes.size() > kept_changes) {
-        head_.changes.resize(kept_changes);
+    if (head_.changes.size() > max_kept_changes) {
+        head_.changes.resize(max_kept_changes);
     }
 }
 
@@ -240,25 +240,26 @@
     return head_;
 }
 
-error racing_change(const fleet_head& head, const fleet_command& command) {
+error make_conflict_error(const fleet_head& head, const fleet_command& command) {
     std::string other = "another change";
     if (!head.changes.empty()) {
         const change_record& last = head.changes.front();
         other = "\"" + last.what + "\" by " + last.by + " at " + std::to_string(last.at_ms) +
                 " ms (revision " + std::to_string(last.revision) + ")";
     }
-    return {error_kind::conflict, "decided on revision " + std::to_string(command.expected_revision) +
-                                      ", but " + other +
-                                      " came first; look at laurelctl status and decide again"};
+    return {error_kind::conflict, "the command is based on revision " +
+                                      std::to_string(command.expected_revision) + ", but " + other +
+                                      " was applied first; check laurelctl status and try again"};
 }
 
 } // namespace
 
-outcome<fleet_head> apply_command(const fleet_head& head, const fleet_command& command, const chart& life) {
+outcome<fleet_head> apply_command(const fleet_head& head, const fleet_command& command,
+                                  const chart& lifecycle) {
     if (command.expected_revision != head.revision) {
-        return racing_change(head, command);
+        return make_conflict_error(head, command);
     }
-    return head_editor{head, command, life}.run();
+    return head_editor{head, command, lifecycle}.run();
 }
 
 bool contains_change(const fleet_head& head, const std::string& nonce) {
--- a/src/node/entry_control.cpp
+++ b/src/node/entry_control.cpp
@@ -276,10 +276,10 @@
     }
     std::set<std::string> domains;
     for (const auto& [incarnation, link] : links_) {
-        const bool is_preferred = domains.size() < wanted_bill_copies && domains.insert(link.domain).second;
+        const bool is_preferred = domains.size() < target_bill_copies && domains.insert(link.domain).second;
         const duration least_age = is_preferred ? duration::zero() : extra_holder_delay;
         std::vector<bill_record> unsent =
-            outbox_.take_unsent(incarnation, now_, bill_resend_interval, least_age);
+            outbox_.take_records_to_send(incarnation, now_, bill_resend_interval, least_age);
         if (!unsent.empty()) {
             port_.send_to_steward(incarnation, bill_batch{std::move(unsent)});
         }
@@ -289,7 +289,7 @@
 void entry_core::on(const std::string& from, const bill_held& message) {
     const std::string domain = links_.at(from).domain;
     for (const bill_key& key : message.keys) {
-        outbox_.on_held(key, from, domain);
+        outbox_.on_copy_stored(key, from, domain);
         const auto waiting = request_by_bill_.find(key);
         if (waiting != request_by_bill_.end()) {
             check_bill_copies(requests_.at(waiting->second));
@@ -417,7 +417,7 @@
 }
 
 bool entry_core::are_bills_handed_over() const {
-    return outbox_.least_copies() >= wanted_copies();
+    return outbox_.min_copies() >= wanted_copies();
 }
 
 std::size_t entry_core::wanted_copies() const {
@@ -425,7 +425,7 @@
     for (const auto& [incarnation, link] : links_) {
         domains.insert(link.domain);
     }
-    return std::clamp<std::size_t>(domains.size(), 1, wanted_bill_copies);
+    return std::clamp<std::size_t>(domains.size(), 1, target_bill_copies);
 }
 
 // ---- messages that an entry never receives from a steward ----
--- a/src/node/steward_ledger.cpp
+++ b/src/node/steward_ledger.cpp
@@ -288,12 +288,12 @@
     }
     for (const auto& [incarnation, link] : peers_) {
         std::vector<bill_record> unsent =
-            hand_over_outbox_.take_unsent(incarnation, now_, hand_over_resend_interval);
+            hand_over_outbox_.take_records_to_send(incarnation, now_, hand_over_resend_interval);
         if (!unsent.empty()) {
             port_.send_to_peer(incarnation, bill_batch{std::move(unsent)});
         }
     }
-    if (segment && !peers_.empty() && hand_over_outbox_.least_copies() >= 1) {
+    if (segment && !peers_.empty() && hand_over_outbox_.min_copies() >= 1) {
         buffer_.on_written(segment->name);
     }
 }
--- a/src/relay/caller_connection.cpp
+++ b/src/relay/caller_connection.cpp
@@ -178,9 +178,9 @@
         return;
     }
     const duration quiet = now - timeout_start_;
-    if (reader_.has_partial_request() && quiet > limits_.header_time) {
+    if (reader_.has_partial_request() && quiet > limits_.header_timeout) {
         reject(status_request_timeout, "send the whole request without pauses");
-    } else if (quiet > limits_.idle_time + idle_slack) {
+    } else if (quiet > limits_.idle_timeout + idle_slack) {
         close();
     }
 }
--- a/src/store/object_watch.cpp
+++ b/src/store/object_watch.cpp
@@ -142,7 +142,7 @@
     if (!jitter_) {
         return wait_;
     }
-    return std::chrono::duration_cast<duration>(wait_ * (shortest + range * jitter_->unit()));
+    return std::chrono::duration_cast<duration>(wait_ * (shortest + range * jitter_->uniform()));
 }
 
 void object_watch::follow() {
--- a/test/rate_limits_test.cpp
+++ b/test/rate_limits_test.cpp
@@ -219,7 +219,7 @@
     }
 
     void send_notices(std::size_t other, const std::vector<limit_notice>& news) {
-        if (hosts_[other].is_alive && random_.unit() >= loss_) {
+        if (hosts_[other].is_alive && random_.uniform() >= loss_) {
             hosts_[other].limits.merge(news, now_);
         }
     }
