--- a/src/host/entry_host.h
+++ b/src/host/entry_host.h
@@ -153,8 +153,9 @@
     void update_deciding_role(time_point now);
     /// The copy of one kind of object that was last encoded for peers.
     struct encoded_copy {
-        std::int64_t since = 0;      ///< revision that the requesting host held
-        std::int64_t last_changed_revision = 0; ///< \ref object_watch::changed_at when it was encoded
+        std::int64_t since = 0; ///< revision that the requesting host held
+        std::int64_t last_changed_revision =
+            0; ///< \ref object_watch::last_changed_revision when it was encoded
         std::string bytes;
     };
     const std::string& copy_since(const object_watch& watch, const std::string& kind, std::int64_t since);
@@ -209,8 +210,8 @@
     std::optional<time_point> behind_since_; ///< since when a newer configuration is known than is held
     reading_mode reading_ = reading_mode::listening;
     time_point reading_since_;
-    std::vector<release_counts> last_sent_counts_;  ///< content of the last count update
-    std::optional<time_point> hears_all_since_;     ///< since when all hosts send their counts to this one
+    std::vector<release_counts> last_sent_counts_;    ///< content of the last count update
+    std::optional<time_point> hears_all_since_;       ///< since when all hosts send their counts to this one
     std::vector<rollout_gossip> last_sent_decisions_; ///< last sent to all hosts, with ages set to 0
     std::optional<time_point>
         store_confirmed_at_; ///< when the store last confirmed the configuration to this host
--- a/src/host/entry_host_copies.cpp
+++ b/src/host/entry_host_copies.cpp
@@ -43,8 +43,10 @@
                                {"status", object.status}});
         }
     }
-    const json body = {
-        {"revision", watch.last_changed_revision()}, {"grace_ms", to_ms(grace)}, {"names", names}, {"objects", objects}};
+    const json body = {{"revision", watch.last_changed_revision()},
+                       {"grace_ms", to_ms(grace)},
+                       {"names", names},
+                       {"objects", objects}};
     std::string bytes;
     json::to_cbor(body, bytes);
     return bytes;
@@ -113,7 +115,8 @@
         return;
     }
     const copy_notice notice{config_watch_.last_changed_revision(), endpoint_watch_.last_changed_revision(),
-                             rollout_watch_.last_changed_revision(), evacuation_watch_.last_changed_revision()};
+                             rollout_watch_.last_changed_revision(),
+                             evacuation_watch_.last_changed_revision()};
     // Changes are also sent directly: by gossip rounds alone, the simultaneous departure of 112 endpoints
     // took 1.3 s to reach the last host, and requests were sent to them meanwhile.
     send_to_others(
--- a/src/node/steward_rollout.cpp
+++ b/src/node/steward_rollout.cpp
@@ -30,7 +30,8 @@
             }
         }
         const version_counts counts = evidence_.total(evidence_key(*view_, version));
-        const brake_hypotheses limits = hypotheses_for(model->prior_quality, established, view_->rolling()->rollout);
+        const brake_hypotheses limits =
+            hypotheses_for(model->prior_quality, established, view_->rolling()->rollout);
         all.push_back({evaluate(counts, limits), counts.rated + counts.failed});
     }
     return all;
--- a/src/simulation/world.cpp
+++ b/src/simulation/world.cpp
@@ -35,7 +35,9 @@
       options_{std::move(options)},
       random_{options_.seed} {
     build_endpoints();
-    const auto skew = [this] { return std::chrono::duration_cast<duration>(longest_skew * random_.uniform()); };
+    const auto skew = [this] {
+        return std::chrono::duration_cast<duration>(longest_skew * random_.uniform());
+    };
     for (std::size_t i = 0; i < options_.stewards; ++i) {
         stewards_.push_back(
             std::make_unique<steward_node>(*this, i, options_.domains[i % options_.domains.size()], skew()));
