--- a/src/burn_report/burn_report.cpp
+++ b/src/burn_report/burn_report.cpp
@@ -10,39 +10,39 @@
 constexpr std::int64_t ms_per_minute = 60000;
 constexpr double micro = 1e6;
 
-struct good_and_all {
+struct event_counts {
     std::int64_t good = 0;
-    std::int64_t all = 0;
+    std::int64_t total = 0;
 };
 
 bool is_model_answer(const bill_record& bill) {
     return bill.version.find('@') != std::string::npos;
 }
 
-good_and_all count_bills(const burn_input& input, const objective_entry& objective,
-                         std::int64_t window_minutes, const std::string& what) {
-    good_and_all counted;
+event_counts count_bills(const burn_input& input, const objective_entry& objective,
+                         std::int64_t window_minutes, const std::string& objective_kind) {
+    event_counts counted;
     const auto score = input.score_by_team.find(objective.team);
-    const double wanted_score = score == input.score_by_team.end() ? 0.0 : score->second;
+    const double required_score = score == input.score_by_team.end() ? 0.0 : score->second;
     for (const bill_record& bill : input.bills) {
         const bool is_in_window = input.now_ms - bill.at_ms <= window_minutes * ms_per_minute;
         if (bill.team != objective.team || !is_in_window || !is_model_answer(bill)) {
             continue;
         }
-        if (what == "quality" && bill.score < 0) {
+        if (objective_kind == "quality" && bill.score < 0) {
             continue;
         }
-        ++counted.all;
-        const bool is_good = what == "latency"   ? bill.latency_ms <= objective.latency_ms
-                             : what == "quality" ? bill.score >= wanted_score
-                                                 : input.stopped.count(bill.version) == 0;
+        ++counted.total;
+        const bool is_good = objective_kind == "latency"   ? bill.latency_ms <= objective.latency_ms
+                             : objective_kind == "quality" ? bill.score >= required_score
+                                                           : input.stopped.count(bill.version) == 0;
         counted.good += is_good ? 1 : 0;
     }
     return counted;
 }
 
-good_and_all count_requests(const burn_input& input, const std::string& team, std::int64_t window_minutes) {
-    good_and_all counted;
+event_counts count_requests(const burn_input& input, const std::string& team, std::int64_t window_minutes) {
+    event_counts counted;
     for (const counts_bucket& bucket : input.counts) {
         const auto found = bucket.teams.find(team);
         if (found == bucket.teams.end() ||
@@ -50,23 +50,23 @@
             continue;
         }
         counted.good += found->second.whole;
-        counted.all += found->second.whole + found->second.refused + found->second.failed;
+        counted.total += found->second.whole + found->second.refused + found->second.failed;
     }
     return counted;
 }
 
-burn_line make_line(const std::string& team, const std::string& objective, std::int64_t window,
-                    const good_and_all& counted, double wanted) {
+burn_line make_burn_line(const std::string& team, const std::string& objective, std::int64_t window,
+                         const event_counts& counted, double wanted) {
     burn_line line;
     line.team = team;
     line.objective = objective;
     line.window_minutes = window;
-    line.events = counted.all;
+    line.events = counted.total;
     line.wanted = wanted;
     line.attained =
-        counted.all == 0 ? 1.0 : static_cast<double>(counted.good) / static_cast<double>(counted.all);
-    constexpr double least_allowance = 1e-6;
-    line.burn_rate = (1 - line.attained) / std::max(least_allowance, 1 - wanted);
+        counted.total == 0 ? 1.0 : static_cast<double>(counted.good) / static_cast<double>(counted.total);
+    constexpr double min_error_budget = 1e-6;
+    line.burn_rate = (1 - line.attained) / std::max(min_error_budget, 1 - wanted);
     line.budget_left = 1 - line.burn_rate;
     return line;
 }
@@ -101,8 +101,8 @@
                         : 0;
         }
         std::sort(latencies.begin(), latencies.end());
-        constexpr std::size_t of_hundred = 95;
-        line.p95_ms = latencies[(latencies.size() * of_hundred + 99) / 100 - 1];
+        constexpr std::size_t percentile = 95;
+        line.p95_ms = latencies[(latencies.size() * percentile + 99) / 100 - 1];
         line.cost = static_cast<double>(cost) / micro;
         line.cost_share =
             costs[line.team] == 0 ? 0 : static_cast<double>(cost) / static_cast<double>(costs[line.team]);
@@ -119,8 +119,10 @@
     burn_report report;
     for (const objective_entry& objective : input.objectives) {
         for (const std::int64_t window : burn_windows) {
-            const auto add = [&](const std::string& what, const good_and_all& counted, double wanted) {
-                report.lines.push_back(make_line(objective.team, what, window, counted, wanted));
+            const auto add = [&](const std::string& objective_kind, const event_counts& counted,
+                                 double wanted) {
+                report.lines.push_back(
+                    make_burn_line(objective.team, objective_kind, window, counted, wanted));
             };
             add("latency", count_bills(input, objective, window, "latency"), objective.latency_share);
             add("quality", count_bills(input, objective, window, "quality"), objective.quality_share);
--- a/src/plot/plot.h
+++ b/src/plot/plot.h
@@ -25,7 +25,7 @@
     std::string x_label;
     std::string y_label;
     std::vector<plot_series> series;
-    double marked_y = -1; ///< a limit, drawn as a dashed line; negative: none
+    double limit_y = -1; ///< a limit, drawn as a dashed line; negative: none
 };
 
 struct plot_bar {
--- a/src/programs/laurel_bench.cpp
+++ b/src/programs/laurel_bench.cpp
@@ -44,7 +44,7 @@
     std::string text_;
 };
 
-std::string text_of(double value) {
+std::string format_value(double value) {
     std::array<char, 32> text{};
     std::snprintf(text.data(), text.size(), "%.4g", value);
     return text.data();
@@ -55,7 +55,7 @@
     std::ofstream(FLAGS_out + "/" + name + ".svg") << to_svg(chart);
 }
 
-double share_of(std::uint64_t part, std::uint64_t whole) {
+double ratio(std::uint64_t part, std::uint64_t whole) {
     return whole == 0 ? 0 : static_cast<double>(part) / static_cast<double>(whole);
 }
 
@@ -70,7 +70,7 @@
 
 tier_result run_tier(tier_policy policy, double stream_share) {
     tier_result result;
-    std::uint64_t good = 0;
+    std::uint64_t within_target = 0;
     std::uint64_t answers = 0;
     double cost = 0;
     double oracle = 0;
@@ -87,7 +87,7 @@
         simulated.quiesce();
         simulated.check_final();
         const world_report& report = simulated.report();
-        good += report.rated_enough;
+        within_target += report.rated_enough;
         answers += report.model_answers;
         constexpr double micro = 1e6;
         cost += static_cast<double>(report.cost_micro) / micro;
@@ -96,7 +96,7 @@
     }
     result.cost_per_answer = cost / static_cast<double>(answers);
     result.oracle_cost = oracle / static_cast<double>(answers);
-    result.quality_share = share_of(good, answers);
+    result.quality_share = ratio(within_target, answers);
     return result;
 }
 
@@ -108,27 +108,27 @@
                                                             {"fixed_ladder", tier_policy::fixed_ladder},
                                                             {"always_cheap", tier_policy::always_cheap}};
     bar_chart chart{"Cost per answer (target: 95% at the score)", "", {}};
-    for (const double streams : {0.0, 0.2, 1.0}) {
+    for (const double stream_share : {0.0, 0.2, 1.0}) {
         double costly = 0;
         for (const auto& [name, policy] : policies) {
-            const tier_result result = run_tier(policy, streams);
+            const tier_result result = run_tier(policy, stream_share);
             costly = policy == tier_policy::always_costly ? result.cost_per_answer : costly;
             if (policy == tier_policy::always_costly) {
-                table.add({text_of(streams), "oracle", text_of(result.oracle_cost), "1",
-                           text_of(result.oracle_cost / costly), "", "", "", ""});
+                table.add({format_value(stream_share), "oracle", format_value(result.oracle_cost), "1",
+                           format_value(result.oracle_cost / costly), "", "", "", ""});
             }
-            table.add({text_of(streams), name, text_of(result.cost_per_answer),
-                       text_of(result.cost_per_answer / result.oracle_cost),
-                       text_of(result.cost_per_answer / costly), text_of(result.quality_share),
-                       text_of(quantile_of(result.latency_ms, 0.5)),
-                       text_of(quantile_of(result.latency_ms, 0.95)),
-                       text_of(quantile_of(result.latency_ms, 0.99))});
-            if (streams == 0.0) {
+            table.add({format_value(stream_share), name, format_value(result.cost_per_answer),
+                       format_value(result.cost_per_answer / result.oracle_cost),
+                       format_value(result.cost_per_answer / costly), format_value(result.quality_share),
+                       format_value(quantile_of(result.latency_ms, 0.5)),
+                       format_value(quantile_of(result.latency_ms, 0.95)),
+                       format_value(quantile_of(result.latency_ms, 0.99))});
+            if (stream_share == 0.0) {
                 if (chart.bars.empty()) {
                     chart.bars.push_back({"oracle", result.oracle_cost});
                 }
                 chart.bars.push_back(
-                    {std::string(name) + " (" + text_of(100 * result.quality_share) + "% at the score)",
+                    {std::string(name) + " (" + format_value(100 * result.quality_share) + "% at the score)",
                      result.cost_per_answer});
             }
         }
@@ -183,9 +183,9 @@
             }
             const double p95 = quantile_of(first, 0.95);
             series.points.push_back({static_cast<double>(lag_ms), p95});
-            table.add({std::to_string(lag_ms), name, text_of(quantile_of(first, 0.5)), text_of(p95),
-                       text_of(quantile_of(first, 0.99)), text_of(share_of(hits, begun)),
-                       text_of(share_of(whole, asked))});
+            table.add({std::to_string(lag_ms), name, format_value(quantile_of(first, 0.5)), format_value(p95),
+                       format_value(quantile_of(first, 0.99)), format_value(ratio(hits, begun)),
+                       format_value(ratio(whole, asked))});
         }
         chart.series.push_back(series);
     }
@@ -204,11 +204,11 @@
                      {},
                      20};
     for (const double rate : {30.0, 100.0}) {
-        plot_series series{text_of(rate) + " requests/s", {}};
+        plot_series series{format_value(rate) + " requests/s", {}};
         for (const double bad_share : {0.35, 0.5, 0.7, 0.9}) {
             double released_below = 0;
             double released = 0;
-            std::uint64_t most = 0;
+            std::uint64_t max_bad_answers = 0;
             std::uint64_t braked = 0;
             double brake_seconds = 0;
             const std::uint64_t runs = 4 * FLAGS_seeds;
@@ -231,12 +231,13 @@
                 const world_report& report = simulated.report();
                 released_below += static_cast<double>(report.bad_version_answers);
                 released += static_cast<double>(report.bad_version_released);
-                most = std::max(most, report.bad_version_answers);
+                max_bad_answers = std::max(max_bad_answers, report.bad_version_answers);
             }
             const auto count = static_cast<double>(runs);
-            table.add({text_of(bad_share), text_of(rate), std::to_string(runs), std::to_string(braked),
-                       text_of(released_below / count), std::to_string(most), text_of(released / count),
-                       text_of(brake_seconds / count)});
+            table.add({format_value(bad_share), format_value(rate), std::to_string(runs),
+                       std::to_string(braked), format_value(released_below / count),
+                       std::to_string(max_bad_answers), format_value(released / count),
+                       format_value(brake_seconds / count)});
             series.points.push_back({bad_share, released_below / count});
         }
         chart.series.push_back(series);
@@ -251,16 +252,16 @@
                                  "answers_mean", "answers_p95"});
     random_source random(7);
     constexpr int rollouts = 20000;
-    constexpr int longest = 2000;
+    constexpr int max_ratings = 2000;
     for (const double quality : {0.8, 0.9, 0.97}) {
         const brake_limits limits = limits_for(quality, {}, {});
-        for (const double extra : {0.0, 0.02, 0.1, 0.2, 0.4, 0.6}) {
-            const double bad_share = std::min(0.99, 1 - quality + extra);
+        for (const double excess_bad_share : {0.0, 0.02, 0.1, 0.2, 0.4, 0.6}) {
+            const double bad_share = std::min(0.99, 1 - quality + excess_bad_share);
             int braked = 0;
             std::vector<double> answers;
             for (int i = 0; i < rollouts; ++i) {
                 version_counts counts;
-                while (counts.rated < longest && judge(counts, limits) == brake_verdict::undecided) {
+                while (counts.rated < max_ratings && judge(counts, limits) == brake_verdict::undecided) {
                     ++counts.rated;
                     counts.below += random.chance(bad_share) ? 1 : 0;
                 }
@@ -271,9 +272,9 @@
             for (const double count : answers) {
                 sum += count;
             }
-            table.add({text_of(quality), text_of(bad_share), std::to_string(rollouts),
-                       text_of(static_cast<double>(braked) / rollouts), text_of(sum / rollouts),
-                       text_of(quantile_of(answers, 0.95))});
+            table.add({format_value(quality), format_value(bad_share), std::to_string(rollouts),
+                       format_value(static_cast<double>(braked) / rollouts), format_value(sum / rollouts),
+                       format_value(quantile_of(answers, 0.95))});
         }
     }
 }
@@ -314,8 +315,8 @@
             in_force.insert(in_force.end(), all.begin() + static_cast<std::ptrdiff_t>(first), all.end());
         }
         table.add({platform, std::to_string(tried), std::to_string(accepted),
-                   text_of(quantile_of(in_force, 0.5)), text_of(quantile_of(in_force, 0.99)),
-                   text_of(quantile_of(in_force, 1.0))});
+                   format_value(quantile_of(in_force, 0.5)), format_value(quantile_of(in_force, 0.99)),
+                   format_value(quantile_of(in_force, 1.0))});
     }
 }
 
@@ -360,7 +361,7 @@
     }
     constexpr double measured_seconds = 40;
     result.goodput = static_cast<double>(whole) / (measured_seconds * static_cast<double>(FLAGS_seeds));
-    result.refused_share = 1 - share_of(whole, asked);
+    result.refused_share = 1 - ratio(whole, asked);
     result.small_team_p95_ms = quantile_of(small, 0.95);
     return result;
 }
@@ -375,8 +376,8 @@
     for (const double factor : {0.5, 0.8, 1.0, 1.5, 2.0, 5.0}) {
         const overload_result result = run_overload(capacity * factor, 1);
         peak = std::max(peak, result.goodput);
-        table.add({text_of(factor), text_of(capacity * factor), text_of(result.goodput),
-                   text_of(result.goodput / peak), text_of(result.refused_share)});
+        table.add({format_value(factor), format_value(capacity * factor), format_value(result.goodput),
+                   format_value(result.goodput / peak), format_value(result.refused_share)});
         series.points.push_back({factor, result.goodput});
     }
     write_plot(
@@ -384,14 +385,14 @@
         line_chart{"Goodput under overload", "load, of nominal capacity", "answers a second", {series}, -1});
     result_table fairness("fairness",
                           {"flood_of_one_team", "requests_per_s", "small_teams_p95_ms", "of_alone"});
-    double alone = 0;
-    for (const double flood : {1.0, 20.0, 100.0}) {
+    double baseline_p95_ms = 0;
+    for (const double flood_factor : {1.0, 20.0, 100.0}) {
         constexpr double small_load = 100;
-        const double rate = small_load * (flood + 9) / 9;
-        const overload_result result = run_overload(rate, flood);
-        alone = alone == 0 ? result.small_team_p95_ms : alone;
-        fairness.add({text_of(flood), text_of(rate), text_of(result.small_team_p95_ms),
-                      text_of(result.small_team_p95_ms / alone)});
+        const double rate = small_load * (flood_factor + 9) / 9;
+        const overload_result result = run_overload(rate, flood_factor);
+        baseline_p95_ms = baseline_p95_ms == 0 ? result.small_team_p95_ms : baseline_p95_ms;
+        fairness.add({format_value(flood_factor), format_value(rate), format_value(result.small_team_p95_ms),
+                      format_value(result.small_team_p95_ms / baseline_p95_ms)});
     }
 }
 
@@ -439,11 +440,11 @@
     const auto run = [&table](const std::string& varied, double value, const world_options& options,
                               double changes) {
         const control_result result = run_control(options, changes);
-        table.add({varied, text_of(value), std::to_string(options.entries), std::to_string(options.stewards),
-                   std::to_string(options.engines + options.services), std::to_string(options.teams),
-                   text_of(options.requests_per_second), text_of(result.bytes_per_node_s),
-                   text_of(result.messages_per_node_s), text_of(result.platform_reads_s),
-                   text_of(result.cpu_ms_per_node_s)});
+        table.add({varied, format_value(value), std::to_string(options.entries),
+                   std::to_string(options.stewards), std::to_string(options.engines + options.services),
+                   std::to_string(options.teams), format_value(options.requests_per_second),
+                   format_value(result.bytes_per_node_s), format_value(result.messages_per_node_s),
+                   format_value(result.platform_reads_s), format_value(result.cpu_ms_per_node_s)});
     };
     world_options idle;
     idle.requests_per_second = 0;
@@ -517,9 +518,9 @@
         apply(simulated);
         simulated.run_for(seconds(60));
         const world_report& report = simulated.report();
-        table.add({name, std::to_string(report.asked), text_of(share_of(report.whole, report.asked)),
-                   text_of(share_of(report.refused, report.asked)),
-                   text_of(quantile_of(report.latency_ms, 0.95))});
+        table.add({name, std::to_string(report.asked), format_value(ratio(report.whole, report.asked)),
+                   format_value(ratio(report.refused, report.asked)),
+                   format_value(quantile_of(report.latency_ms, 0.95))});
     }
 }
 
--- a/src/programs/laurel_burn.cpp
+++ b/src/programs/laurel_burn.cpp
@@ -29,7 +29,7 @@
 constexpr int exit_unreachable = 4;
 
 /** \return the JSON that the first steward to answer has for \p target; ends the program if none does. */
-json read_page(const std::string& target) {
+json fetch_json(const std::string& target) {
     for (const std::string& address : split_list(FLAGS_stewards)) {
         http_call call;
         call.address = require_address("stewards", address);
@@ -52,7 +52,7 @@
 
 burn_input read_input() {
     burn_input input;
-    const json status = read_page("/control/status");
+    const json status = fetch_json("/control/status");
     const auto head = status["head"].get<fleet_head>();
     for (const auto* stops : {&head.withdrawn, &head.braked}) {
         for (const auto& [version, stop] : *stops) {
@@ -71,7 +71,7 @@
         }
     }
     ledger_book book;
-    const json ledger = read_page("/control/objects?prefix=ledger/");
+    const json ledger = fetch_json("/control/objects?prefix=ledger/");
     for (const json& item : ledger["items"]) {
         book.add(item["value"].get<ledger_segment>());
     }
@@ -80,7 +80,7 @@
             input.bills.push_back(record);
         }
     }
-    const json counts = read_page("/control/objects?prefix=counts/");
+    const json counts = fetch_json("/control/objects?prefix=counts/");
     for (const json& item : counts["items"]) {
         input.counts.push_back(item["value"].get<counts_bucket>());
     }
--- a/src/programs/laurel_entry.cpp
+++ b/src/programs/laurel_entry.cpp
@@ -32,7 +32,7 @@
 constexpr duration tick_interval = milliseconds(50);
 constexpr duration connect_interval = milliseconds(500);
 constexpr int default_expected_tokens = 200;
-constexpr std::size_t prefix_length = 200;
+constexpr std::size_t max_prefix_bytes = 200;
 
 /** A caller that waits. */
 struct waiting_caller {
@@ -42,7 +42,7 @@
 };
 
 /** Puts the pieces of a server-sent event stream together. */
-class event_splitter {
+class sse_parser {
 public:
     /** \return the data of the events that \p piece completes. */
     std::vector<std::string> add(const std::string& piece) {
@@ -83,7 +83,7 @@
         std::string incarnation; ///< empty until its hello has come
     };
     struct open_stream {
-        event_splitter events;
+        sse_parser events;
         std::string text;
         std::int64_t tokens = 0;
         bool is_complete = false;
@@ -99,7 +99,7 @@
     void on_lookup(const http_request& request, const std::shared_ptr<http_responder>& responder);
     caller_request begin_request(const http_request& request,
                                  const std::shared_ptr<http_responder>& responder, bool is_stream);
-    void submit(const caller_request& asked);
+    void submit(const caller_request& incoming);
 
     void connect_stewards();
     void on_link_open(link_id link);
@@ -107,13 +107,13 @@
     void on_link_close(link_id link);
     hello_message make_hello() const;
 
-    void on_engine_answer(const endpoint_call& call, const http_answer& answer);
-    void on_engine_piece(const std::string& call_id, const std::string& piece);
+    void on_endpoint_response(const endpoint_call& call, const http_answer& answer);
+    void on_stream_piece(const std::string& call_id, const std::string& piece);
     static http_headers reply_headers(const caller_reply& reply);
 
     entry_settings settings_;
     event_loop loop_;
-    metrics numbers_;
+    metrics metrics_;
     entry_charts charts_;
     entry_core core_;
     http_client client_;
@@ -121,13 +121,13 @@
     std::unique_ptr<http_server> server_;
     caller_handle last_caller_ = 0;
     std::unordered_map<caller_handle, waiting_caller> callers_;
-    std::unordered_map<std::string, http_client::canceller> calls_;
+    std::unordered_map<std::string, http_client::canceller> cancel_by_call_;
     std::unordered_map<std::string, open_stream> streams_;
     std::map<link_id, steward_connection> connections_;
     std::map<std::string, link_id> link_by_steward_;
     std::size_t next_candidate_ = 0;
-    std::unique_ptr<std::ostream> record_;
-    std::int64_t recorded_since_ = 0;
+    std::unique_ptr<std::ostream> trace_output_;
+    std::int64_t recording_started_us_ = 0;
 };
 
 entry_settings entry_program::read_entry_settings() {
@@ -162,7 +162,7 @@
     : settings_{read_entry_settings()},
       charts_{load_chart_or_exit(FLAGS_charts, "request"), load_chart_or_exit(FLAGS_charts, "endpoint"),
               load_chart_or_exit(FLAGS_charts, "host")},
-      core_{settings_, charts_, *this, numbers_, entropy_seed()},
+      core_{settings_, charts_, *this, metrics_, entropy_seed()},
       client_{loop_},
       links_{loop_,
              {[this](link_id link) { on_link_open(link); },
@@ -179,17 +179,17 @@
 
 void entry_program::run() {
     if (!FLAGS_record.empty()) {
-        record_ = std::make_unique<std::ofstream>(FLAGS_record);
-        recorded_since_ = to_micros(monotonic_now());
-        require_setting(record_->good(), "record", FLAGS_record, "give a file that can be written");
+        trace_output_ = std::make_unique<std::ofstream>(FLAGS_record);
+        recording_started_us_ = to_micros(monotonic_now());
+        require_setting(trace_output_->good(), "record", FLAGS_record, "give a file that can be written");
     }
     log_info("started",
              {{"listen", FLAGS_listen}, {"domain", FLAGS_domain}, {"incarnation", settings_.incarnation}});
     loop_.every(tick_interval, [this] {
         core_.on_tick(monotonic_now());
-        numbers_.gauge("open_requests", static_cast<double>(core_.open_requests()));
-        numbers_.gauge("undrained_bills", static_cast<double>(core_.undrained_bills()));
-        numbers_.gauge("link_bytes_sent", static_cast<double>(links_.bytes_sent()));
+        metrics_.gauge("open_requests", static_cast<double>(core_.open_requests()));
+        metrics_.gauge("undrained_bills", static_cast<double>(core_.undrained_bills()));
+        metrics_.gauge("link_bytes_sent", static_cast<double>(links_.bytes_sent()));
         if (core_.is_stopped() && callers_.empty()) {
             loop_.stop();
         }
@@ -205,7 +205,7 @@
 void entry_program::on_http(const http_request& request, const std::shared_ptr<http_responder>& responder) {
     constexpr std::string_view services = "/v1/services/";
     constexpr std::string_view requests = "/v1/requests/";
-    if (answer_health(request, responder, numbers_, core_.is_ready(monotonic_now()))) {
+    if (serve_health_pages(request, responder, metrics_, core_.is_ready(monotonic_now()))) {
         return;
     }
     if (request.method == "GET" && request.path == "/v1/entries") {
@@ -217,9 +217,9 @@
     } else if (request.method == "GET" && request.path.rfind(requests, 0) == 0) {
         on_lookup(request, responder);
     } else {
-        answer_error(responder,
-                     {error_kind::not_found, request.method + " " + request.path +
-                                                 " is not a page of this host; see docs/INTERFACES.md"});
+        reply_with_error(responder,
+                         {error_kind::not_found, request.method + " " + request.path +
+                                                     " is not a page of this host; see docs/INTERFACES.md"});
     }
 }
 
@@ -230,7 +230,7 @@
     responder->reply(200, {}, body.dump());
 }
 
-std::string bearer_of(const http_request& request) {
+std::string bearer_token(const http_request& request) {
     constexpr std::string_view scheme = "Bearer ";
     const std::string value = request.header("authorization");
     return value.rfind(scheme, 0) == 0 ? value.substr(scheme.size()) : std::string{};
@@ -245,21 +245,21 @@
         callers_.erase(caller);
         core_.on_caller_gone(caller, monotonic_now());
     });
-    caller_request asked;
-    asked.caller = caller;
-    asked.team_key = bearer_of(request);
-    asked.idempotency_key = request.header("idempotency-key");
-    asked.session = request.header("laurelhoist-session");
-    asked.kind = request.header("laurelhoist-kind");
-    asked.stream = is_stream;
-    return asked;
+    caller_request incoming;
+    incoming.caller = caller;
+    incoming.team_key = bearer_token(request);
+    incoming.idempotency_key = request.header("idempotency-key");
+    incoming.session = request.header("laurelhoist-session");
+    incoming.kind = request.header("laurelhoist-kind");
+    incoming.stream = is_stream;
+    return incoming;
 }
 
 void entry_program::on_model_request(const http_request& request,
                                      const std::shared_ptr<http_responder>& responder) {
     const outcome<json> parsed = parse_json_object(request.body);
     if (const error* failure = error_of(parsed)) {
-        answer_error(responder, *failure);
+        reply_with_error(responder, *failure);
         return;
     }
     const json& body = *value_of(parsed);
@@ -267,23 +267,25 @@
         body.contains("messages") && body["messages"].is_array() && !body["messages"].empty();
     const bool is_stream_valid = !body.contains("stream") || body["stream"].is_boolean();
     if (!has_messages || !is_stream_valid) {
-        answer_error(responder,
-                     {error_kind::invalid_request,
-                      "\"messages\" must be a list with at least one message, and \"stream\" true or false"});
+        reply_with_error(
+            responder,
+            {error_kind::invalid_request,
+             "\"messages\" must be a list with at least one message, and \"stream\" true or false"});
         return;
     }
-    caller_request asked = begin_request(request, responder, body.value("stream", false));
-    asked.body = body;
+    caller_request incoming = begin_request(request, responder, body.value("stream", false));
+    incoming.body = body;
     if (body.contains("max_tokens") && body["max_tokens"].is_number_integer()) {
-        constexpr int most_tokens = 100000;
-        asked.expected_tokens = std::clamp(body["max_tokens"].get<int>(), 1, most_tokens);
+        constexpr int max_expected_tokens = 100000;
+        incoming.expected_tokens = std::clamp(body["max_tokens"].get<int>(), 1, max_expected_tokens);
     } else {
-        asked.expected_tokens = default_expected_tokens;
+        incoming.expected_tokens = default_expected_tokens;
     }
     const json& first = body["messages"][0];
     const bool has_text = first.is_object() && first.contains("content") && first["content"].is_string();
-    asked.prefix = has_text ? first["content"].get<std::string>().substr(0, prefix_length) : asked.session;
-    submit(asked);
+    incoming.prefix =
+        has_text ? first["content"].get<std::string>().substr(0, max_prefix_bytes) : incoming.session;
+    submit(incoming);
 }
 
 void entry_program::on_service_request(const http_request& request,
@@ -292,35 +294,35 @@
     const std::size_t slash = rest.find('/');
     const outcome<json> parsed = parse_json_object(request.body.empty() ? "{}" : request.body);
     if (const error* failure = error_of(parsed)) {
-        answer_error(responder, *failure);
+        reply_with_error(responder, *failure);
         return;
     }
-    caller_request asked = begin_request(request, responder, false);
-    asked.service = rest.substr(0, slash);
-    asked.path = slash == std::string::npos ? "" : rest.substr(slash + 1);
-    asked.body = *value_of(parsed);
-    submit(asked);
+    caller_request incoming = begin_request(request, responder, false);
+    incoming.service = rest.substr(0, slash);
+    incoming.path = slash == std::string::npos ? "" : rest.substr(slash + 1);
+    incoming.body = *value_of(parsed);
+    submit(incoming);
 }
 
-void entry_program::submit(const caller_request& asked) {
-    if (record_) {
-        const team_entry* team = core_.view().team_by_key(team_key_hash(asked.team_key));
-        const trace_line line{to_micros(monotonic_now()) - recorded_since_,
+void entry_program::submit(const caller_request& incoming) {
+    if (trace_output_) {
+        const team_entry* team = core_.view().team_by_key(team_key_hash(incoming.team_key));
+        const trace_line line{to_micros(monotonic_now()) - recording_started_us_,
                               team == nullptr ? "" : team->name,
-                              asked.kind,
-                              asked.service,
-                              asked.path,
-                              asked.stream,
-                              asked.expected_tokens};
-        *record_ << json(line).dump() << '\n';
-    }
-    core_.on_request(asked, monotonic_now());
+                              incoming.kind,
+                              incoming.service,
+                              incoming.path,
+                              incoming.stream,
+                              incoming.expected_tokens};
+        *trace_output_ << json(line).dump() << '\n';
+    }
+    core_.on_request(incoming, monotonic_now());
 }
 
 void entry_program::on_lookup(const http_request& request, const std::shared_ptr<http_responder>& responder) {
-    const caller_request asked = begin_request(request, responder, false);
+    const caller_request incoming = begin_request(request, responder, false);
     const std::string key = request.path.substr(std::string("/v1/requests/").size());
-    core_.on_lookup(asked.caller, asked.team_key, key, monotonic_now());
+    core_.on_lookup(incoming.caller, incoming.team_key, key, monotonic_now());
 }
 
 http_headers entry_program::reply_headers(const caller_reply& reply) {
@@ -434,49 +436,49 @@
     http_client::piece_handler on_piece;
     if (call.stream) {
         streams_[call.call_id] = {};
-        on_piece = [this, id = call.call_id](const std::string& piece) { on_engine_piece(id, piece); };
+        on_piece = [this, id = call.call_id](const std::string& piece) { on_stream_piece(id, piece); };
     }
-    calls_[call.call_id] = client_.send(
-        request, [this, call](const http_answer& answer) { on_engine_answer(call, answer); }, on_piece);
+    cancel_by_call_[call.call_id] = client_.send(
+        request, [this, call](const http_answer& answer) { on_endpoint_response(call, answer); }, on_piece);
 }
 
 void entry_program::cancel_call(const std::string& call_id) {
-    const auto found = calls_.find(call_id);
-    if (found != calls_.end()) {
+    const auto found = cancel_by_call_.find(call_id);
+    if (found != cancel_by_call_.end()) {
         found->second();
-        calls_.erase(found);
+        cancel_by_call_.erase(found);
         streams_.erase(call_id);
     }
 }
 
-void entry_program::on_engine_piece(const std::string& call_id, const std::string& piece) {
+void entry_program::on_stream_piece(const std::string& call_id, const std::string& piece) {
     const auto found = streams_.find(call_id);
     if (found == streams_.end()) {
         return;
     }
     for (const std::string& data : found->second.events.add(piece)) {
-        const auto alive = streams_.find(call_id);
-        if (alive == streams_.end()) {
+        const auto current = streams_.find(call_id);
+        if (current == streams_.end()) {
             return; // A part before this one ended the call.
         }
         if (data == "[DONE]") {
-            alive->second.is_complete = true;
+            current->second.is_complete = true;
             continue;
         }
         const json part = json::parse(data, nullptr, false);
         if (!part.is_object()) {
             continue;
         }
-        alive->second.version = part.value("model", "");
-        alive->second.request_id = part.value("id", "");
+        current->second.version = part.value("model", "");
+        current->second.request_id = part.value("id", "");
         const std::string text = part.value("text", "");
-        alive->second.text += text;
-        ++alive->second.tokens;
+        current->second.text += text;
+        ++current->second.tokens;
         core_.on_endpoint_part(call_id, part.value("index", 0), text, monotonic_now());
     }
 }
 
-load_report report_of(const http_answer& answer) {
+load_report parse_load_report(const http_answer& answer) {
     load_report report;
     const std::string running = answer.header("x-load-running");
     const std::string queued = answer.header("x-load-queued");
@@ -486,29 +488,29 @@
     return report;
 }
 
-endpoint_statement statement_of(const http_answer& answer) {
+endpoint_statement parse_endpoint_statement(const http_answer& answer) {
     constexpr int status_too_many = 429;
     constexpr int status_unavailable = 503;
-    endpoint_statement said;
-    said.rate_limit = parse_decimal(answer.header("x-rate-limit"));
-    said.is_leaving = !answer.header("x-leaving").empty();
+    endpoint_statement statement;
+    statement.rate_limit = parse_decimal(answer.header("x-rate-limit"));
+    statement.is_leaving = !answer.header("x-leaving").empty();
     if (answer.status == status_unavailable || answer.status == status_too_many) {
-        said.back_off = parse_retry_after(answer.header("retry-after"), answer.header("date"));
+        statement.back_off = parse_retry_after(answer.header("retry-after"), answer.header("date"));
     }
-    return said;
+    return statement;
 }
 
-void entry_program::on_engine_answer(const endpoint_call& call, const http_answer& answer) {
-    calls_.erase(call.call_id);
+void entry_program::on_endpoint_response(const endpoint_call& call, const http_answer& answer) {
+    cancel_by_call_.erase(call.call_id);
     endpoint_answer arrived;
-    arrived.report = report_of(answer);
+    arrived.report = parse_load_report(answer);
     arrived.status = answer.status;
     arrived.request_id = answer.header("x-request-id");
     arrived.version = answer.header("x-served-version");
     arrived.version_missing = !answer.header("x-version-missing").empty();
     arrived.is_silent = answer.what == http_answer::result::silent;
     const bool is_not_run = !answer.header("x-not-run").empty();
-    arrived.says = statement_of(answer);
+    arrived.says = parse_endpoint_statement(answer);
     const bool is_service = call.version.empty();
     const bool is_whole_answer = answer.what == http_answer::result::answered;
     const bool is_leaving = is_not_run && !answer.header("x-leaving").empty();
@@ -521,8 +523,8 @@
     }
     const auto open = streams_.find(call.call_id);
     if (open != streams_.end()) {
-        const bool is_cut = arrived.result == call_result::answered && !open->second.is_complete;
-        arrived.result = is_cut ? call_result::failed : arrived.result;
+        const bool is_truncated = arrived.result == call_result::answered && !open->second.is_complete;
+        arrived.result = is_truncated ? call_result::failed : arrived.result;
         arrived.text = open->second.text;
         arrived.tokens = open->second.tokens + call.resume_from;
         streams_.erase(open);
@@ -639,9 +641,9 @@
     }
     const std::string incarnation = connection->second.incarnation;
     connections_.erase(connection);
-    const auto held = link_by_steward_.find(incarnation);
-    if (held != link_by_steward_.end() && held->second == link) {
-        link_by_steward_.erase(held);
+    const auto current_link = link_by_steward_.find(incarnation);
+    if (current_link != link_by_steward_.end() && current_link->second == link) {
+        link_by_steward_.erase(current_link);
         core_.on_steward_down(incarnation, monotonic_now());
     }
 }
--- a/src/programs/laurel_load.cpp
+++ b/src/programs/laurel_load.cpp
@@ -42,11 +42,11 @@
 
 namespace {
 
-constexpr int most_tries = 8;
+constexpr int max_attempts = 8;
 constexpr std::size_t sessions_per_team = 20;
-constexpr double session_length = 15;
-constexpr double good_score = 0.7;
-constexpr duration settle_limit = seconds(30);
+constexpr double mean_requests_per_session = 15;
+constexpr double min_good_score = 0.7;
+constexpr duration max_billing_wait = seconds(30);
 
 struct session_state {
     std::string id;
@@ -60,9 +60,9 @@
     bool is_stream = false;
     std::size_t session = 0;
     std::string prompt;
-    time_point intended;
-    int tries = 0;
-    bool has_first = false;
+    time_point intended_start;
+    int attempts = 0;
+    bool has_first_token = false;
 };
 
 class load_program {
@@ -71,18 +71,19 @@
     int run();
 
 private:
-    void next_arrival();
+    void schedule_next_arrival();
     void begin_operation();
     void refresh_entries();
-    void send(const std::shared_ptr<load_operation>& wish);
-    void send_direct(const std::shared_ptr<load_operation>& wish);
-    http_call make_call(const load_operation& wish) const;
-    void on_answer(const std::shared_ptr<load_operation>& wish, const http_answer& answer);
-    void on_whole(const load_operation& wish, const http_answer& answer, const std::string& text);
-    void on_not_whole(const std::shared_ptr<load_operation>& wish, const http_answer& answer);
-    void end(const load_operation& wish);
-    std::string text_of(const load_operation& wish, const http_answer& answer, bool& is_whole);
-    void settle();
+    void send(const std::shared_ptr<load_operation>& operation);
+    void send_direct(const std::shared_ptr<load_operation>& operation);
+    http_call make_call(const load_operation& operation) const;
+    void on_answer(const std::shared_ptr<load_operation>& operation, const http_answer& answer);
+    void on_complete_answer(const load_operation& operation, const http_answer& answer,
+                            const std::string& text);
+    void on_incomplete_answer(const std::shared_ptr<load_operation>& operation, const http_answer& answer);
+    void end_operation(const load_operation& operation);
+    std::string extract_text(const load_operation& operation, const http_answer& answer, bool& is_whole);
+    void verify_when_finished();
     void read_ledger();
     void read_standin();
     void finish();
@@ -91,33 +92,33 @@
     http_client client_;
     random_source random_;
     std::vector<std::string> teams_;
-    std::vector<std::string> seeds_;
+    std::vector<std::string> initial_entries_;
     std::vector<std::string> entries_;
     std::map<std::string, std::vector<session_state>> sessions_;
-    time_point began_;
-    time_point settle_began_;
-    std::int64_t open_ = 0;
-    std::uint64_t number_ = 0;
+    time_point started_at_;
+    time_point verification_started_at_;
+    std::int64_t open_operations_ = 0;
+    std::uint64_t operation_count_ = 0;
     std::string run_id_;
-    bool is_over_ = false;
+    bool is_load_finished_ = false;
     std::set<bill_key> answered_;
     std::vector<double> latencies_;
     std::vector<double> first_tokens_;
-    load_report report_;
+    load_run_report report_;
 };
 
 load_program::load_program()
     : client_{loop_},
       random_{FLAGS_seed},
       teams_{split_list(FLAGS_teams)},
-      seeds_{split_list(FLAGS_entries)},
-      entries_{seeds_} {
+      initial_entries_{split_list(FLAGS_entries)},
+      entries_{initial_entries_} {
     require_setting(!teams_.empty(), "teams", FLAGS_teams, "name at least one team");
     require_setting(FLAGS_rate > 0 && FLAGS_rate <= 5000, "rate", std::to_string(FLAGS_rate),
                     "give a rate between 0 and 5000");
     require_setting(FLAGS_seconds > 0 && FLAGS_seconds <= 600, "seconds", std::to_string(FLAGS_seconds),
                     "give at most 600");
-    for (const std::string& address : seeds_) {
+    for (const std::string& address : initial_entries_) {
         require_address("entries", address);
     }
     run_id_ = random_source(entropy_seed()).identifier("load-");
@@ -129,46 +130,46 @@
 }
 
 int load_program::run() {
-    began_ = monotonic_now();
+    started_at_ = monotonic_now();
     refresh_entries();
     loop_.every(seconds(1), [this] { refresh_entries(); });
-    next_arrival();
+    schedule_next_arrival();
     loop_.after(std::chrono::duration_cast<duration>(std::chrono::duration<double>(FLAGS_seconds)),
-                [this] { is_over_ = true; });
-    loop_.every(milliseconds(200), [this] { settle(); });
+                [this] { is_load_finished_ = true; });
+    loop_.every(milliseconds(200), [this] { verify_when_finished(); });
     loop_.run();
     return report_.lost + report_.foreign + report_.unbilled + report_.doubled_calls == 0 ? 0 : 1;
 }
 
 // ---- load ----
 
-void load_program::next_arrival() {
+void load_program::schedule_next_arrival() {
     constexpr double micro = 1e6;
     const duration gap{static_cast<std::int64_t>(random_.exponential(micro / FLAGS_rate))};
     loop_.after(gap, [this] {
-        if (!is_over_) {
+        if (!is_load_finished_) {
             begin_operation();
-            next_arrival();
+            schedule_next_arrival();
         }
     });
 }
 
 void load_program::begin_operation() {
-    auto wish = std::make_shared<load_operation>();
-    wish->team = teams_[random_.below(teams_.size())];
-    wish->key = run_id_ + "-" + std::to_string(++number_);
-    wish->is_service = random_.chance(FLAGS_service_share);
-    wish->is_stream = !wish->is_service && random_.chance(FLAGS_stream_share);
-    wish->session = random_.below(sessions_per_team);
-    wish->prompt = "question " + std::to_string(random_.below(1000000));
-    wish->intended = monotonic_now();
-    session_state& session = sessions_[wish->team][wish->session];
-    if (random_.chance(1 / session_length)) {
-        session = {run_id_ + "/" + std::to_string(number_), ""};
+    auto operation = std::make_shared<load_operation>();
+    operation->team = teams_[random_.below(teams_.size())];
+    operation->key = run_id_ + "-" + std::to_string(++operation_count_);
+    operation->is_service = random_.chance(FLAGS_service_share);
+    operation->is_stream = !operation->is_service && random_.chance(FLAGS_stream_share);
+    operation->session = random_.below(sessions_per_team);
+    operation->prompt = "question " + std::to_string(random_.below(1000000));
+    operation->intended_start = monotonic_now();
+    session_state& session = sessions_[operation->team][operation->session];
+    if (random_.chance(1 / mean_requests_per_session)) {
+        session = {run_id_ + "/" + std::to_string(operation_count_), ""};
     }
     ++report_.asked;
-    ++open_;
-    FLAGS_direct.empty() ? send(wish) : send_direct(wish);
+    ++open_operations_;
+    FLAGS_direct.empty() ? send(operation) : send_direct(operation);
 }
 
 // Asks one entry after the other until one answers: any of them can tell.
@@ -177,7 +178,7 @@
         return;
     }
     std::vector<std::string> known = entries_;
-    known.insert(known.end(), seeds_.begin(), seeds_.end());
+    known.insert(known.end(), initial_entries_.begin(), initial_entries_.end());
     http_call call;
     call.address = *value_of(parse_address(known[random_.below(known.size())]));
     call.target = "/v1/entries?session=any";
@@ -194,79 +195,81 @@
     });
 }
 
-http_call load_program::make_call(const load_operation& wish) const {
-    const session_state& session = sessions_.at(wish.team)[wish.session];
+http_call load_program::make_call(const load_operation& operation) const {
+    const session_state& session = sessions_.at(operation.team)[operation.session];
     http_call call;
     call.method = "POST";
     call.timeout = seconds(15);
-    call.headers = {{"Authorization", "Bearer " + wish.team + "-key"},
-                    {"Idempotency-Key", wish.key},
+    call.headers = {{"Authorization", "Bearer " + operation.team + "-key"},
+                    {"Idempotency-Key", operation.key},
                     {"Laurelhoist-Session", session.token.empty() ? session.id : session.token},
                     {"Content-Type", "application/json"}};
-    if (wish.is_service) {
+    if (operation.is_service) {
         call.target = "/v1/services/" + FLAGS_service + "/" + FLAGS_single_call;
-        call.body = json{{"reference", wish.key}}.dump();
+        call.body = json{{"reference", operation.key}}.dump();
         return call;
     }
     call.target = "/v1/chat/completions";
-    call.is_streamed = wish.is_stream;
+    call.is_streamed = operation.is_stream;
     call.body = json{{"messages", json::array({{{"role", "system"}, {"content", "session " + session.id}},
-                                               {{"role", "user"}, {"content", wish.prompt}}})},
+                                               {{"role", "user"}, {"content", operation.prompt}}})},
                      {"max_tokens", FLAGS_tokens},
-                     {"stream", wish.is_stream}}
+                     {"stream", operation.is_stream}}
                     .dump();
     return call;
 }
 
-void load_program::send(const std::shared_ptr<load_operation>& wish) {
-    ++wish->tries;
-    http_call call = make_call(*wish);
-    const std::size_t start = placement_hash(sessions_[wish->team][wish->session].id) % entries_.size();
-    call.address = *value_of(
-        parse_address(entries_[(start + static_cast<std::size_t>(wish->tries) - 1) % entries_.size()]));
+void load_program::send(const std::shared_ptr<load_operation>& operation) {
+    ++operation->attempts;
+    http_call call = make_call(*operation);
+    const std::size_t start =
+        placement_hash(sessions_[operation->team][operation->session].id) % entries_.size();
+    call.address = *value_of(parse_address(
+        entries_[(start + static_cast<std::size_t>(operation->attempts) - 1) % entries_.size()]));
     http_client::piece_handler on_piece;
-    if (wish->is_stream) {
-        on_piece = [this, wish](const std::string&) {
-            if (!wish->has_first) {
-                wish->has_first = true;
-                first_tokens_.push_back(to_ms(monotonic_now() - wish->intended));
+    if (operation->is_stream) {
+        on_piece = [this, operation](const std::string&) {
+            if (!operation->has_first_token) {
+                operation->has_first_token = true;
+                first_tokens_.push_back(to_ms(monotonic_now() - operation->intended_start));
             }
         };
     }
     client_.send(
-        call, [this, wish](const http_answer& answer) { on_answer(wish, answer); }, on_piece);
+        call, [this, operation](const http_answer& answer) { on_answer(operation, answer); }, on_piece);
 }
 
-void load_program::send_direct(const std::shared_ptr<load_operation>& wish) {
+void load_program::send_direct(const std::shared_ptr<load_operation>& operation) {
     const std::vector<std::string> engines = split_list(FLAGS_direct);
-    http_call call = make_call(*wish);
-    if (wish->is_service) {
+    http_call call = make_call(*operation);
+    if (operation->is_service) {
         call.target = "/" + FLAGS_single_call;
     } else {
         json body = json::parse(call.body);
         body["model"] = FLAGS_direct_version;
         call.body = body.dump();
     }
-    call.headers["X-Request-Id"] = wish->key;
+    call.headers["X-Request-Id"] = operation->key;
     call.address = *value_of(parse_address(engines[random_.below(engines.size())]));
-    client_.send(call, [this, wish](const http_answer& answer) {
+    client_.send(call, [this, operation](const http_answer& answer) {
         if (answer.status == 200) {
             ++report_.whole;
-            latencies_.push_back(to_ms(monotonic_now() - wish->intended));
+            latencies_.push_back(to_ms(monotonic_now() - operation->intended_start));
         } else {
             ++report_.refused;
         }
-        end(*wish);
+        end_operation(*operation);
     });
 }
 
-std::string load_program::text_of(const load_operation& wish, const http_answer& answer, bool& is_whole) {
-    if (wish.is_service) {
+std::string load_program::extract_text(const load_operation& operation, const http_answer& answer,
+                                       bool& is_whole) {
+    if (operation.is_service) {
         const json body = json::parse(answer.body, nullptr, false);
         is_whole = body.is_object() && body.contains("reference");
         return is_whole ? body["reference"].get<std::string>() : "";
     }
-    if (!wish.is_stream) {
+    if (!operation.is_stream) {
         const json body = json::parse(answer.body, nullptr, false);
         const json::json_pointer content("/choices/0/message/content");
         is_whole = body.is_object() && body.contains(content);
@@ -277,35 +280,36 @@
     return answer.body;
 }
 
-void load_program::on_answer(const std::shared_ptr<load_operation>& wish, const http_answer& answer) {
+void load_program::on_answer(const std::shared_ptr<load_operation>& operation, const http_answer& answer) {
     bool is_whole = false;
     const bool is_answer = answer.what == http_answer::result::answered && answer.status == 200;
-    const std::string text = is_answer ? text_of(*wish, answer, is_whole) : "";
+    const std::string text = is_answer ? extract_text(*operation, answer, is_whole) : "";
     if (is_whole) {
-        on_whole(*wish, answer, text);
-        end(*wish);
+        on_complete_answer(*operation, answer, text);
+        end_operation(*operation);
     } else {
-        on_not_whole(wish, answer);
+        on_incomplete_answer(operation, answer);
     }
 }
 
-void load_program::on_whole(const load_operation& wish, const http_answer& answer, const std::string& text) {
+void load_program::on_complete_answer(const load_operation& operation, const http_answer& answer,
+                                      const std::string& text) {
     ++report_.whole;
-    latencies_.push_back(to_ms(monotonic_now() - wish.intended));
-    answered_.insert({wish.team, wish.key});
-    session_state& session = sessions_[wish.team][wish.session];
+    latencies_.push_back(to_ms(monotonic_now() - operation.intended_start));
+    answered_.insert({operation.team, operation.key});
+    session_state& session = sessions_[operation.team][operation.session];
     if (!answer.header("laurelhoist-session").empty()) {
         session.token = answer.header("laurelhoist-session");
     }
-    if (wish.is_service) {
-        report_.foreign += text == wish.key ? 0 : 1;
+    if (operation.is_service) {
+        report_.foreign += text == operation.key ? 0 : 1;
         return;
     }
     const std::string request = answer.header("laurelhoist-request");
     report_.foreign += text.find("answer to " + request) == std::string::npos ? 1 : 0;
     ++report_.model_answers;
     report_.tokens += FLAGS_tokens;
-    const bool is_good = score_in(text) >= good_score;
+    const bool is_good = score_in(text) >= min_good_score;
     report_.good += is_good ? 1 : 0;
     if (!FLAGS_bad_version.empty() && text.find(" by " + FLAGS_bad_version + " ") != std::string::npos) {
         ++report_.bad_released;
@@ -313,35 +317,37 @@
     }
 }
 
-void load_program::on_not_whole(const std::shared_ptr<load_operation>& wish, const http_answer& answer) {
+void load_program::on_incomplete_answer(const std::shared_ptr<load_operation>& operation,
+                                        const http_answer& answer) {
     const json body = json::parse(answer.body, nullptr, false);
     const json failure = body.is_object() ? body.value("error", json::object()) : json::object();
     const int wait_ms = std::max(100, failure.value("retry_after_ms", 300));
     // Every request carries a key, so every one may be sent again: the key keeps it from running twice.
-    if (wish->tries < most_tries) {
-        loop_.after(milliseconds(wait_ms), [this, wish] { send(wish); });
+    if (operation->attempts < max_attempts) {
+        loop_.after(milliseconds(wait_ms), [this, operation] { send(operation); });
         return;
     }
     ++(failure.value("ran", "unknown") == "no" ? report_.refused : report_.failed);
-    end(*wish);
+    end_operation(*operation);
 }
 
-void load_program::end(const load_operation& /*wish*/) {
-    --open_;
+void load_program::end_operation(const load_operation& /*operation*/) {
+    --open_operations_;
 }
 
 // ---- the account ----
 
-void load_program::settle() {
-    if (!is_over_ || open_ > 0) {
-        const bool is_hopeless = is_over_ && monotonic_now() - began_ > seconds(120) + settle_limit;
-        if (is_hopeless) {
+void load_program::verify_when_finished() {
+    if (!is_load_finished_ || open_operations_ > 0) {
+        const bool is_overdue =
+            is_load_finished_ && monotonic_now() - started_at_ > seconds(120) + max_billing_wait;
+        if (is_overdue) {
             finish();
         }
         return;
     }
-    if (settle_began_ == time_point{}) {
-        settle_began_ = monotonic_now();
+    if (verification_started_at_ == time_point{}) {
+        verification_started_at_ = monotonic_now();
         FLAGS_controls.empty() ? read_standin() : read_ledger();
     }
 }
@@ -372,7 +378,7 @@
         report_.unbilled = std::count_if(answered_.begin(), answered_.end(), [&book](const bill_key& key) {
             return book.records().count(key) == 0;
         });
-        if (report_.unbilled > 0 && monotonic_now() - settle_began_ < settle_limit) {
+        if (report_.unbilled > 0 && monotonic_now() - verification_started_at_ < max_billing_wait) {
             loop_.after(milliseconds(500), [this] { read_ledger(); });
             return;
         }
@@ -396,7 +402,7 @@
 }
 
 void load_program::finish() {
-    report_.lost = open_;
+    report_.lost = open_operations_;
     report_.p50_ms = quantile_of(latencies_, 0.5);
     report_.p95_ms = quantile_of(latencies_, 0.95);
     report_.p99_ms = quantile_of(latencies_, 0.99);
--- a/src/programs/laurel_soak.cpp
+++ b/src/programs/laurel_soak.cpp
@@ -1,6 +1,6 @@
 /** \file
  * The program laurel-soak: long random runs with every invariant asserted, for as long as asked. Each run
- * has a seed; a broken invariant prints it and ends the program.
+ * has a seed; a violated invariant prints the seed and ends the program.
  */
 #include "simulation/simulation.h"
 
@@ -24,7 +24,7 @@
 struct run_result {
     world_report report;
     std::uint64_t events = 0;
-    std::string broken; ///< empty: every invariant held
+    std::string violation; ///< empty: every invariant held
     double virtual_seconds = 0;
 };
 
@@ -54,7 +54,7 @@
         simulated.quiesce();
         simulated.check_final();
     } catch (const invariant_failure& failure) {
-        result.broken = failure.what();
+        result.violation = failure.what();
     }
     result.report = simulated.report();
     result.events = simulated.clock.events_run();
@@ -82,9 +82,9 @@
         refused += result.report.refused;
         failed += result.report.failed;
         virtual_seconds += result.virtual_seconds;
-        if (!result.broken.empty()) {
+        if (!result.violation.empty()) {
             std::cout << json{{"seed", seed},
-                              {"broken", result.broken},
+                              {"broken", result.violation},
                               {"after_events", events},
                               {"after_runs", done},
                               {"virtual_seconds", virtual_seconds}}
@@ -99,8 +99,8 @@
         }
     }
     json checked = json::object();
-    for (const auto& [promise, count] : invariant_registry::instance().all()) {
-        checked[promise] = count.checked;
+    for (const auto& [invariant, count] : invariant_registry::instance().all()) {
+        checked[invariant] = count.checked;
     }
     std::cout << json{{"runs", done},     {"events", events},   {"virtual_seconds", virtual_seconds},
                       {"asked", asked},   {"whole", whole},     {"refused", refused},
--- a/src/programs/laurel_standin.cpp
+++ b/src/programs/laurel_standin.cpp
@@ -42,7 +42,7 @@
     weight_store weights_;
     std::vector<std::unique_ptr<stand_in_engine>> engines_;
     std::vector<std::unique_ptr<plain_service>> services_;
-    done_calls done_;
+    done_calls call_counts_;
     json endpoints_ = json::array();
     std::unique_ptr<http_server> control_;
 };
@@ -78,7 +78,7 @@
                                            plan_.versions, pool.loaded};
             engines_.push_back(std::make_unique<stand_in_engine>(loop_, address, settings, weights_));
         } else {
-            services_.push_back(std::make_unique<plain_service>(loop_, address, name, done_));
+            services_.push_back(std::make_unique<plain_service>(loop_, address, name, call_counts_));
         }
     }
 }
@@ -127,12 +127,12 @@
         engines[engine->name()] = engine->statistics();
     }
     std::int64_t doubled = 0;
-    for (const auto& [reference, times] : done_) {
+    for (const auto& [reference, times] : call_counts_) {
         doubled += times > 1 && !reference.empty() ? 1 : 0;
     }
     return {{"platform", store_.statistics()},
             {"engines", engines},
-            {"calls_done", done_.size()},
+            {"calls_done", call_counts_.size()},
             {"calls_doubled", doubled}};
 }
 
--- a/src/programs/laurel_steward.cpp
+++ b/src/programs/laurel_steward.cpp
@@ -27,7 +27,7 @@
 
 constexpr duration tick_interval = milliseconds(100);
 constexpr duration connect_interval = seconds(1);
-constexpr duration watch_time = seconds(10);
+constexpr duration watch_wait = seconds(10);
 
 class steward_program : public steward_port {
 public:
@@ -45,7 +45,7 @@
     struct connection {
         bool is_outgoing = false;
         std::string address;
-        hello_message hello; ///< of the other side; without incarnation until it has come
+        hello_message hello; ///< of the sender side; without incarnation until it has come
     };
 
     static steward_settings read_steward_settings();
@@ -65,14 +65,14 @@
 
     steward_settings settings_;
     event_loop loop_;
-    metrics numbers_;
+    metrics metrics_;
     steward_core core_;
     http_client client_;
     link_server incoming_;
     link_client outgoing_;
     std::unique_ptr<http_server> control_;
     std::map<std::pair<bool, link_id>, connection> connections_;
-    std::map<std::string, std::shared_ptr<http_responder>> operators_;
+    std::map<std::string, std::shared_ptr<http_responder>> pending_commands_;
     std::uint64_t last_operation_ = 0;
 };
 
@@ -105,7 +105,7 @@
             load_chart_or_exit(FLAGS_charts, "bundle"),
             load_chart_or_exit(FLAGS_charts, "host"),
             *this,
-            numbers_,
+            metrics_,
             entropy_seed()},
       client_{loop_},
       incoming_{loop_, require_address("listen", FLAGS_listen), handlers(false)},
@@ -122,7 +122,7 @@
     log_info("started", {{"listen", FLAGS_listen}, {"control", FLAGS_control}, {"domain", FLAGS_domain}});
     loop_.every(tick_interval, [this] {
         core_.on_tick(monotonic_now());
-        numbers_.gauge("link_bytes_sent",
+        metrics_.gauge("link_bytes_sent",
                        static_cast<double>(incoming_.bytes_sent() + outgoing_.bytes_sent()));
         if (core_.is_stopped()) {
             loop_.stop();
@@ -194,11 +194,11 @@
         on_hello(is_outgoing, link, *hello);
         return;
     }
-    const hello_message& other = found->second.hello;
-    if (other.role == "entry") {
-        core_.on_entry_message(other.incarnation, message, monotonic_now());
-    } else if (other.role == "steward") {
-        core_.on_peer_message(other.incarnation, message, monotonic_now());
+    const hello_message& sender = found->second.hello;
+    if (sender.role == "entry") {
+        core_.on_entry_message(sender.incarnation, message, monotonic_now());
+    } else if (sender.role == "steward") {
+        core_.on_peer_message(sender.incarnation, message, monotonic_now());
     }
 }
 
@@ -231,10 +231,10 @@
     }
     const hello_message hello = found->second.hello;
     connections_.erase(found);
-    const bool is_elsewhere = std::any_of(connections_.begin(), connections_.end(), [&](const auto& open) {
-        return open.second.hello.incarnation == hello.incarnation;
-    });
-    if (hello.incarnation.empty() || is_elsewhere) {
+    const bool has_other_connection =
+        std::any_of(connections_.begin(), connections_.end(),
+                    [&](const auto& open) { return open.second.hello.incarnation == hello.incarnation; });
+    if (hello.incarnation.empty() || has_other_connection) {
         return;
     }
     if (hello.role == "entry") {
@@ -271,12 +271,12 @@
     }
     if (request.what == platform_request::action::watch) {
         return "/watch/" + request.key + "?since=" + std::to_string(request.expected_version) +
-               "&wait_ms=" + std::to_string(std::chrono::duration_cast<milliseconds>(watch_time).count());
+               "&wait_ms=" + std::to_string(std::chrono::duration_cast<milliseconds>(watch_wait).count());
     }
     return "/objects/" + request.key;
 }
 
-platform_reply::result result_of(const http_answer& answer, bool is_write) {
+platform_reply::result to_platform_result(const http_answer& answer, bool is_write) {
     using result = platform_reply::result;
     if (answer.what == http_answer::result::not_sent) {
         return result::unavailable;
@@ -309,7 +309,7 @@
     call.target = platform_target(request);
     call.timeout = milliseconds(FLAGS_platform_timeout_ms);
     if (request.what == action::watch) {
-        call.timeout += watch_time;
+        call.timeout += watch_wait;
     }
     if (request.what == action::get && request.expected_version > 0) {
         call.headers["If-None-Match"] = std::to_string(request.expected_version);
@@ -325,7 +325,7 @@
     client_.send(call, [this, request, is_write](const http_answer& answer) {
         platform_reply reply;
         reply.operation = request.operation;
-        reply.what = result_of(answer, is_write);
+        reply.what = to_platform_result(answer, is_write);
         reply.object.key = request.key;
         reply.object.version = std::atoll(answer.header("etag").c_str());
         if (reply.what == platform_reply::result::ok && !is_write) {
@@ -369,7 +369,7 @@
     call.timeout = seconds(2);
     client_.send(call, [this, order](const http_answer& answer) {
         if (answer.status == 412) {
-            numbers_.count("engine_orders_fenced");
+            metrics_.count("engine_orders_fenced");
             log_warning("engine_order_fenced", {{"endpoint", order.endpoint}, {"fence", order.fence}});
         }
     });
@@ -380,12 +380,12 @@
 void steward_program::on_http(const http_request& request, const std::shared_ptr<http_responder>& responder) {
     const std::optional<time_point> as_of = core_.confirmed_as_of(monotonic_now());
     const bool is_ready = as_of && monotonic_now() - *as_of < freshness_limit && core_.is_listed();
-    if (answer_health(request, responder, numbers_, is_ready)) {
+    if (serve_health_pages(request, responder, metrics_, is_ready)) {
         return;
     }
     if (!equal_in_constant_time(request.header("authorization"), "Bearer " + FLAGS_operator_key)) {
-        answer_error(responder, {error_kind::unauthorized,
-                                 "operators' calls carry the operator key; set --operator_key"});
+        reply_with_error(responder, {error_kind::unauthorized,
+                                     "operators' calls carry the operator key; set --operator_key"});
     } else if (request.method == "POST" && request.path == "/control/command") {
         on_command(request, responder);
     } else if (request.method == "GET" && request.path == "/control/status") {
@@ -393,7 +393,7 @@
     } else if (request.method == "GET" && request.path == "/control/objects") {
         on_objects(request, responder);
     } else {
-        answer_error(responder, {error_kind::not_found, "no such page; see docs/INTERFACES.md"});
+        reply_with_error(responder, {error_kind::not_found, "no such page; see docs/INTERFACES.md"});
     }
 }
 
@@ -401,7 +401,7 @@
                                  const std::shared_ptr<http_responder>& responder) {
     const outcome<json> parsed = parse_json_object(request.body);
     if (const error* failure = error_of(parsed)) {
-        answer_error(responder, *failure);
+        reply_with_error(responder, *failure);
         return;
     }
     const json& body = *value_of(parsed);
@@ -410,14 +410,14 @@
     try {
         command = body.at("command").get<fleet_command>();
     } catch (const json::exception& failure) {
-        answer_error(responder,
-                     {error_kind::invalid_request, std::string("not a command: ") + failure.what()});
+        reply_with_error(responder,
+                         {error_kind::invalid_request, std::string("not a command: ") + failure.what()});
         return;
     }
     if (command.kind == command_kind::submit) {
         const outcome<bundle> checked = parse_bundle(body.value("document", json()));
         if (const error* failure = error_of(checked)) {
-            answer_error(responder, *failure);
+            reply_with_error(responder, *failure);
             return;
         }
         document = *value_of(checked);
@@ -425,19 +425,19 @@
         command.sha256 = content_hash(*document);
     }
     const std::string operation = "http-" + std::to_string(++last_operation_);
-    operators_[operation] = responder;
+    pending_commands_[operation] = responder;
     core_.on_command(operation, command, document, monotonic_now());
 }
 
 void steward_program::answer_operator(const command_reply& reply) {
-    const auto found = operators_.find(reply.operation);
-    if (found == operators_.end()) {
+    const auto found = pending_commands_.find(reply.operation);
+    if (found == pending_commands_.end()) {
         return;
     }
     const std::shared_ptr<http_responder> responder = found->second;
-    operators_.erase(found);
+    pending_commands_.erase(found);
     if (reply.failure) {
-        answer_error(responder, *reply.failure);
+        reply_with_error(responder, *reply.failure);
         return;
     }
     responder->reply(200, {},
@@ -482,9 +482,9 @@
 void steward_program::on_objects(const http_request& request,
                                  const std::shared_ptr<http_responder>& responder) {
     const std::string prefix = request.parameter("prefix");
-    const bool is_open_to_tools = prefix.rfind("ledger/", 0) == 0 || prefix.rfind("counts/", 0) == 0;
-    if (!is_open_to_tools) {
-        answer_error(responder, {error_kind::forbidden, "only ledger/ and counts/ can be read here"});
+    const bool is_readable_prefix = prefix.rfind("ledger/", 0) == 0 || prefix.rfind("counts/", 0) == 0;
+    if (!is_readable_prefix) {
+        reply_with_error(responder, {error_kind::forbidden, "only ledger/ and counts/ can be read here"});
         return;
     }
     http_call call;
@@ -495,8 +495,8 @@
         if (answer.status == 200) {
             responder->reply(200, {}, answer.body);
         } else {
-            answer_error(responder, {error_kind::platform_unavailable,
-                                     "the platform does not answer; come back", ran_state::no, 1000});
+            reply_with_error(responder, {error_kind::platform_unavailable,
+                                         "the platform does not answer; come back", ran_state::no, 1000});
         }
     });
 }
--- a/src/programs/laurelctl.cpp
+++ b/src/programs/laurelctl.cpp
@@ -87,7 +87,7 @@
 };
 
 /** \return the exit code for an answer that is not a success, after telling the operator. */
-int report_failure(const http_answer& answer) {
+int print_failure(const http_answer& answer) {
     if (answer.what == http_answer::result::not_sent) {
         return fail(exit_unreachable, "no steward answers at " + FLAGS_stewards +
                                           "; set --stewards to their control addresses");
@@ -105,7 +105,7 @@
 outcome<json> read_status(steward_client& stewards, int& code) {
     const http_answer answer = stewards.ask("GET", "/control/status", "");
     if (answer.status != 200) {
-        code = report_failure(answer);
+        code = print_failure(answer);
         return error{};
     }
     return json::parse(answer.body);
@@ -142,7 +142,7 @@
 
 // ---- commands ----
 
-outcome<json> read_file(const std::string& path) {
+outcome<json> read_json_file(const std::string& path) {
     std::ifstream file(path);
     if (!file) {
         return error{error_kind::not_found,
@@ -154,7 +154,7 @@
 }
 
 int validate(const std::vector<std::string>& arguments) {
-    const outcome<json> document = read_file(arguments[2]);
+    const outcome<json> document = read_json_file(arguments[2]);
     if (const error* failure = error_of(document)) {
         return fail(exit_usage, failure->message);
     }
@@ -224,7 +224,7 @@
     const http_answer answer =
         stewards.ask("POST", "/control/command", json{{"command", command}, {"document", document}}.dump());
     if (answer.status != 200) {
-        return report_failure(answer);
+        return print_failure(answer);
     }
     json result = json::parse(answer.body);
     code = wait_until_in_force(stewards, result.value("revision", std::int64_t{0}), result);
@@ -242,7 +242,7 @@
 }
 
 int submit(const std::vector<std::string>& arguments) {
-    const outcome<json> document = read_file(arguments[2]);
+    const outcome<json> document = read_json_file(arguments[2]);
     if (const error* failure = error_of(document)) {
         return fail(exit_usage, failure->message);
     }
@@ -257,7 +257,7 @@
 }
 
 template <command_kind Kind>
-int move_bundle(const std::vector<std::string>& arguments) {
+int send_bundle_command(const std::vector<std::string>& arguments) {
     fleet_command command;
     command.kind = Kind;
     command.bundle_id = arguments[2];
@@ -359,7 +359,7 @@
     steward_client stewards;
     const http_answer answer = stewards.ask("GET", "/control/objects?prefix=ledger/", "");
     if (answer.status != 200) {
-        return report_failure(answer);
+        return print_failure(answer);
     }
     ledger_book book;
     const json body = json::parse(answer.body);
@@ -395,11 +395,11 @@
     static const std::vector<command_entry> table{
         {{"bundle", "validate"}, 1, false, validate},
         {{"bundle", "submit"}, 1, true, submit},
-        {{"bundle", "sign-off"}, 1, true, move_bundle<command_kind::sign_off>},
-        {{"bundle", "roll"}, 1, true, move_bundle<command_kind::roll>},
-        {{"bundle", "pause"}, 1, true, move_bundle<command_kind::pause>},
-        {{"bundle", "resume"}, 1, true, move_bundle<command_kind::resume>},
-        {{"bundle", "withdraw"}, 1, true, move_bundle<command_kind::withdraw_bundle>},
+        {{"bundle", "sign-off"}, 1, true, send_bundle_command<command_kind::sign_off>},
+        {{"bundle", "roll"}, 1, true, send_bundle_command<command_kind::roll>},
+        {{"bundle", "pause"}, 1, true, send_bundle_command<command_kind::pause>},
+        {{"bundle", "resume"}, 1, true, send_bundle_command<command_kind::resume>},
+        {{"bundle", "withdraw"}, 1, true, send_bundle_command<command_kind::withdraw_bundle>},
         {{"bundle", "status"}, 0, false, show_bundles},
         {{"version", "withdraw"}, 1, true, withdraw_versions},
         {{"status"}, 0, false, show_status},
--- a/src/programs/load_report.h
+++ b/src/programs/load_report.h
@@ -7,7 +7,7 @@
 
 namespace laurelhoist {
 
-struct load_report {
+struct load_run_report {
     std::int64_t asked = 0;
     std::int64_t whole = 0;
     std::int64_t refused = 0;
@@ -30,7 +30,7 @@
     double p99_ms = 0;
     double first_token_p95_ms = 0;
 };
-LAUREL_VALUE_TYPE(load_report, asked, whole, refused, failed, lost, foreign, good, model_answers, tokens,
+LAUREL_VALUE_TYPE(load_run_report, asked, whole, refused, failed, lost, foreign, good, model_answers, tokens,
                   bad_released, bad_below, restarts, billed, unbilled, doubled_calls, cost,
                   cost_always_costly, p50_ms, p95_ms, p99_ms, first_token_p95_ms)
 
