--- a/src/burn_report/burn_report.cpp
+++ b/src/burn_report/burn_report.cpp
@@ -45,6 +45,7 @@
     event_counts counted;
     for (const counts_bucket& bucket : input.counts) {
         const auto found = bucket.teams.find(team);
+        // A bucket is dated by the start of its minute, so the window is extended by one minute.
         if (found == bucket.teams.end() ||
             input.now_ms - bucket.minute * ms_per_minute > (window_minutes + 1) * ms_per_minute) {
             continue;
@@ -65,7 +66,7 @@
     line.wanted = wanted;
     line.attained =
         counted.total == 0 ? 1.0 : static_cast<double>(counted.good) / static_cast<double>(counted.total);
-    constexpr double min_error_budget = 1e-6;
+    constexpr double min_error_budget = 1e-6; // avoids division by zero for an objective of 100%
     line.burn_rate = (1 - line.attained) / std::max(min_error_budget, 1 - wanted);
     line.budget_left = 1 - line.burn_rate;
     return line;
--- a/src/plot/plot.cpp
+++ b/src/plot/plot.cpp
@@ -19,6 +19,7 @@
 constexpr int tick_count = 5;
 constexpr std::array colours{"#1b6ca8", "#c2452d", "#3a8f4d", "#8a5fb0", "#b8860b", "#4c4c4c"};
 
+/** Maps the values [low, high] linearly to the pixels [from, to]. */
 struct axis_scale {
     double low = 0;
     double high = 1;
--- a/src/plot/plot.h
+++ b/src/plot/plot.h
@@ -1,6 +1,6 @@
 /** \file
- * The one public header of the plot library: line and bar charts as SVG text, for the experiment program
- * and the report on service-level burn.
+ * The public header of the plot library: renders line and bar charts as SVG text for laurel-bench and
+ * laurel-burn.
  */
 #pragma once
 
@@ -25,7 +25,7 @@
     std::string x_label;
     std::string y_label;
     std::vector<plot_series> series;
-    double limit_y = -1; ///< a limit, drawn as a dashed line; negative: none
+    double limit_y = -1; ///< y value of a dashed horizontal line; negative: none
 };
 
 struct plot_bar {
--- a/src/programs/common.h
+++ b/src/programs/common.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines what the programs share: the settings that each of them has, and the health and metrics pages.
+ * Helpers that the programs share: health and metrics pages, error responses and parsing of JSON bodies.
  */
 #pragma once
 
@@ -7,9 +7,9 @@
 
 namespace laurelhoist {
 
-/** Answers /healthz, /readyz and /metrics.
- * \param is_ready what /readyz says
- * \return false if the request is for another page */
+/** Serves /healthz, /readyz and /metrics.
+ * \param is_ready whether /readyz replies 200 instead of 503
+ * \return false if the request is for another path; nothing has been sent then */
 inline bool serve_health_pages(const http_request& request, const std::shared_ptr<http_responder>& responder,
                                const metrics& node_metrics, bool is_ready) {
     if (request.path == "/healthz") {
@@ -27,7 +27,7 @@
     return false;
 }
 
-/** Answers with an error that belongs to no request. */
+/** Sends \p failure as an error response without a request id; sets Retry-After if the error has a delay. */
 inline void reply_with_error(const std::shared_ptr<http_responder>& responder, const error& failure) {
     http_headers headers;
     if (failure.retry_after_ms > 0) {
@@ -38,8 +38,8 @@
 
 constexpr int max_json_depth = 32;
 
-/** \return the JSON object in \p text, or an error with the remedy. Nesting is bounded before anything
- * walks the document, so that a caller's brackets cannot exhaust the stack. */
+/** \return the JSON object in \p text, or an error with the remedy. Nesting is limited during parsing, so
+ * that a deeply nested document from a caller cannot exhaust the stack of code that traverses it. */
 inline outcome<json> parse_json_object(const std::string& text) {
     bool is_too_deep = false;
     const auto limit_depth = [&is_too_deep](int depth, json::parse_event_t, json&) {
--- a/src/programs/laurel_bench.cpp
+++ b/src/programs/laurel_bench.cpp
@@ -1,6 +1,6 @@
 /** \file
- * The program laurel-bench: experiments that compare policies side by side, under the same seed, load and
- * faults, on the real decisions in virtual time. One CSV row a run; plots as SVG.
+ * The program laurel-bench: experiments that compare policies under the same seeds, load and faults. They run
+ * the production decision code in virtual time and write CSV tables and SVG plots.
  */
 #include "plot/plot.h"
 #include "simulation/simulation.h"
@@ -13,14 +13,14 @@
 
 DEFINE_string(experiment, "all",
               "tier, endpoint, exposure, brake, withdrawal, overload, control, outage or all");
-DEFINE_string(out, "docs/data", "directory for CSV files and plots; must exist");
-DEFINE_uint64(seeds, 3, "runs of each setting, under seeds counting up from 1");
+DEFINE_string(out, "docs/data", "existing directory for CSV files and plots");
+DEFINE_uint64(seeds, 3, "runs of each configuration, with seeds counted up from 1");
 
 namespace laurelhoist {
 
 namespace {
 
-/** A table that is printed and written as CSV. */
+/** A table that is printed row by row, and written as a CSV file when it is destroyed. */
 class result_table {
 public:
     result_table(std::string name, const std::vector<std::string>& columns) : name_{std::move(name)} {
@@ -59,12 +59,12 @@
     return whole == 0 ? 0 : static_cast<double>(part) / static_cast<double>(whole);
 }
 
-// ---- tier ----
+// ---- tier: cost and quality of the policies that choose a model version ----
 
 struct tier_result {
     double cost_per_answer = 0;
-    double quality_share = 0;
-    double oracle_cost = 0;
+    double quality_share = 0; ///< share of model answers at or above the required score
+    double oracle_cost = 0;   ///< cost per answer if the cheapest sufficient version were known in advance
     std::vector<double> latency_ms;
 };
 
@@ -136,7 +136,7 @@
     write_plot("tier", chart);
 }
 
-// ---- endpoint ----
+// ---- endpoint: time to first token of the policies that choose an endpoint, by report lag ----
 
 void experiment_endpoint() {
     result_table table("endpoint", {"report_lag_ms", "policy", "first_token_p50_ms", "first_token_p95_ms",
@@ -192,7 +192,7 @@
     write_plot("endpoint", chart);
 }
 
-// ---- exposure ----
+// ---- exposure: bad answers released before a bad version is braked ----
 
 void experiment_exposure() {
     result_table table("exposure",
@@ -245,7 +245,7 @@
     write_plot("exposure", chart);
 }
 
-// ---- brake ----
+// ---- brake: share of rollouts braked and ratings until the verdict, by share of bad answers ----
 
 void experiment_brake() {
     result_table table("brake", {"stated_quality", "true_bad_share", "rollouts", "braked_share",
@@ -279,7 +279,7 @@
     }
 }
 
-// ---- withdrawal ----
+// ---- withdrawal: time until a withdrawal is in force on all entries, under faults ----
 
 void experiment_withdrawal() {
     result_table table("withdrawal", {"platform", "withdrawals", "accepted", "in_force_p50_ms",
@@ -320,7 +320,7 @@
     }
 }
 
-// ---- overload ----
+// ---- overload: goodput beyond capacity; latency of small teams while one team floods the fleet ----
 
 struct overload_result {
     double goodput = 0;
@@ -370,9 +370,9 @@
     result_table table("overload",
                        {"load_of_capacity", "requests_per_s", "goodput_per_s", "of_peak", "refused_share"});
     constexpr double capacity =
-        300; // 6 engines of 8 slots, some 150 ms an answer with half of the prefixes cached
+        300; // 6 engines with 8 slots, about 150 ms per answer with half of the prefixes cached
     double peak = 0;
-    plot_series series{"whole answers in time", {}};
+    plot_series series{"complete answers in time", {}};
     for (const double factor : {0.5, 0.8, 1.0, 1.5, 2.0, 5.0}) {
         const overload_result result = run_overload(capacity * factor, 1);
         peak = std::max(peak, result.goodput);
@@ -396,7 +396,7 @@
     }
 }
 
-// ---- control ----
+// ---- control: control traffic and CPU time per node by fleet size and load ----
 
 struct control_result {
     double bytes_per_node_s = 0;
@@ -481,7 +481,7 @@
     }
 }
 
-// ---- outage ----
+// ---- outage: share of requests answered and refused under one fault at a time ----
 
 void experiment_outage() {
     result_table table("outage", {"fault", "asked", "whole_share", "refused_share", "p95_ms"});
@@ -543,7 +543,7 @@
             experiment.run();
         }
     }
-    require_setting(is_known, "experiment", FLAGS_experiment, "name one of those in --help");
+    require_setting(is_known, "experiment", FLAGS_experiment, "give one of the names listed in --help");
     return 0;
 }
 
@@ -553,7 +553,7 @@
 
 int main(int argc, char** argv) {
     laurelhoist::read_settings(
-        &argc, &argv, "laurel-bench: compares policies under the same load and faults, in virtual time.");
+        &argc, &argv, "laurel-bench: compares policies under the same load and faults in virtual time.");
     laurelhoist::start_log("laurel-bench", "");
     laurelhoist::quiet_log();
     laurelhoist::require_setting(std::ofstream(FLAGS_out + "/.writable").good(), "out", FLAGS_out,
--- a/src/programs/laurel_burn.cpp
+++ b/src/programs/laurel_burn.cpp
@@ -1,6 +1,6 @@
 /** \file
- * The program laurel-burn: the report on service-level burn for each team and version, as a table, CSV,
- * JSON or an SVG plot. It reads what the stewards keep in the platform, through any steward.
+ * The program laurel-burn: reports the error-budget burn rates of each team and the totals of each version as
+ * a table, CSV, JSON or an SVG plot. It reads the ledger and the request counts through any steward.
  */
 #include "burn_report/burn_report.h"
 #include "plot/plot.h"
@@ -15,12 +15,12 @@
 
 DEFINE_string(stewards, "127.0.0.1:7100",
               "control addresses of stewards, tried in order, separated by commas");
-DEFINE_string(operator_key, "", "key that operators' commands carry");
+DEFINE_string(operator_key, "", "operator key that authenticates to the stewards");
 DEFINE_string(format, "text", "text, csv or json");
-DEFINE_string(svg, "", "file to plot the burn rates into; empty: no plot");
-DEFINE_string(team, "", "only this team; empty: all");
-DEFINE_int64(window, 60, "the window of the plot in minutes: 5, 60 or 360");
-DEFINE_uint32(timeout_ms, 15000, "how long one steward may take, while the platform is slow");
+DEFINE_string(svg, "", "SVG file for a plot of the burn rates; empty: no plot");
+DEFINE_string(team, "", "team to report on; empty: all");
+DEFINE_int64(window, 60, "window of the plot in minutes: 5, 60 or 360");
+DEFINE_uint32(timeout_ms, 15000, "timeout of a request to a steward in ms; allows for a slow platform");
 
 namespace laurelhoist {
 
@@ -28,7 +28,8 @@
 
 constexpr int exit_unreachable = 4;
 
-/** \return the JSON that the first steward to answer has for \p target; ends the program if none does. */
+/** \return the JSON document at \p target from the first steward that serves it. Exits if none does, or if
+ * one rejects the operator key. */
 json fetch_json(const std::string& target) {
     for (const std::string& address : split_list(FLAGS_stewards)) {
         http_call call;
@@ -46,7 +47,7 @@
         }
     }
     std::cerr << "laurel-burn: no steward answers " << target
-              << "; set --stewards, or come back when the platform is up\n";
+              << "; set --stewards, or try again when the platform is available\n";
     std::exit(exit_unreachable);
 }
 
@@ -114,7 +115,7 @@
 
 void print_text(const burn_report& report) {
     std::cout << "newest bill: " << age_text(report.newest_bill_age_ms)
-              << "; newest counts of requests: " << age_text(report.newest_count_age_ms) << "\n\n";
+              << "; newest request counts: " << age_text(report.newest_count_age_ms) << "\n\n";
     print_row({"TEAM", "OBJECTIVE", "WINDOW", "EVENTS", "ATTAINED", "WANTED", "BURN RATE", "BUDGET LEFT"});
     for (const burn_line& line : report.lines) {
         print_row({line.team, line.objective, std::to_string(line.window_minutes) + " min",
@@ -143,7 +144,7 @@
 
 void plot(const burn_report& report) {
     bar_chart chart{
-        "Burn rate over " + std::to_string(FLAGS_window) + " minutes (1 uses the budget up)", "", {}};
+        "Burn rate over " + std::to_string(FLAGS_window) + " minutes (1 = budget fully used)", "", {}};
     for (const burn_line& line : report.lines) {
         if (line.window_minutes == FLAGS_window && line.events > 0) {
             chart.bars.push_back({line.team + " " + line.objective, line.burn_rate});
@@ -178,6 +179,7 @@
 } // namespace laurelhoist
 
 int main(int argc, char** argv) {
-    laurelhoist::read_settings(&argc, &argv, "laurel-burn: reports how fast each team's error budgets burn.");
+    laurelhoist::read_settings(&argc, &argv,
+                               "laurel-burn: reports the burn rates of each team's error budgets.");
     return laurelhoist::run();
 }
--- a/src/programs/laurel_entry.cpp
+++ b/src/programs/laurel_entry.cpp
@@ -1,5 +1,6 @@
 /** \file
- * The program laurel-entry: the callers' HTTP interface around the entry's decisions.
+ * The program laurel-entry: connects entry_core to the network. It serves the callers' HTTP interface, calls
+ * endpoints and the rating service, and keeps links to stewards.
  */
 #include "node/node.h"
 #include "programs/common.h"
@@ -13,17 +14,17 @@
 DEFINE_string(name, "", "this host's name, as the platform lists it");
 DEFINE_string(domain, "", "the failure domain of this host");
 DEFINE_string(listen, "127.0.0.1:8080", "address for callers");
-DEFINE_string(advertise, "", "address that callers are told to use; empty: the one listened on");
-DEFINE_string(stewards, "127.0.0.1:7000", "addresses of stewards to begin with, separated by commas");
-DEFINE_uint32(steward_links, 3, "stewards to keep links with");
+DEFINE_string(advertise, "", "address published to callers; empty: the one listened on");
+DEFINE_string(stewards, "127.0.0.1:7000", "initial steward addresses, separated by commas");
+DEFINE_uint32(steward_links, 3, "number of stewards to keep links with");
 DEFINE_string(rater, "", "address of the rating service; empty: answers are not rated");
-DEFINE_uint32(rating_timeout_ms, 2000, "how long a rating may take");
-DEFINE_uint32(callers_keep_ms, 5000, "how long callers may keep the answer of /v1/entries");
-DEFINE_uint32(max_body_bytes, 1048576, "largest request body");
+DEFINE_uint32(rating_timeout_ms, 2000, "timeout of a rating in ms");
+DEFINE_uint32(callers_keep_ms, 5000, "how long callers may cache the response of /v1/entries, in ms");
+DEFINE_uint32(max_body_bytes, 1048576, "largest request body in bytes");
 DEFINE_string(session_key, "", "key that signs session tokens; the same on every entry host");
 DEFINE_string(fleet_key, "", "key shared by entries and stewards");
 DEFINE_string(charts, "charts", "directory of the state charts");
-DEFINE_string(record, "", "file to record the requests' trace into; empty: none");
+DEFINE_string(record, "", "file to record a trace of the requests to; empty: none");
 
 namespace laurelhoist {
 
@@ -31,20 +32,20 @@
 
 constexpr duration tick_interval = milliseconds(50);
 constexpr duration connect_interval = milliseconds(500);
-constexpr int default_expected_tokens = 200;
-constexpr std::size_t max_prefix_bytes = 200;
+constexpr int default_expected_tokens = 200;  // for requests without max_tokens
+constexpr std::size_t max_prefix_bytes = 200; // of the first message; identifies the prompt prefix
 
-/** A caller that waits. */
+/** A caller whose response is not complete yet. */
 struct waiting_caller {
     std::shared_ptr<http_responder> responder;
     bool is_stream = false;
     bool has_begun = false;
 };
 
-/** Puts the pieces of a server-sent event stream together. */
+/** Parses a stream of server-sent events that arrives in pieces of any size. */
 class sse_parser {
 public:
-    /** \return the data of the events that \p piece completes. */
+    /** \return the data fields of the events that \p piece completes; other fields are ignored. */
     std::vector<std::string> add(const std::string& piece) {
         text_ += piece;
         std::vector<std::string> events;
@@ -80,7 +81,7 @@
 private:
     struct steward_connection {
         std::string address;
-        std::string incarnation; ///< empty until its hello has come
+        std::string incarnation; ///< empty until the steward's hello has arrived
     };
     struct open_stream {
         sse_parser events;
@@ -140,7 +141,7 @@
     require_setting(!split_list(FLAGS_stewards).empty(), "stewards", FLAGS_stewards,
                     "name at least one steward");
     require_setting(FLAGS_steward_links >= 2, "steward_links", std::to_string(FLAGS_steward_links),
-                    "keep at least 2 links, so that the loss of one steward stops nothing");
+                    "use at least 2, so that the entry keeps working when one steward is lost");
     for (const std::string& steward : split_list(FLAGS_stewards)) {
         require_address("stewards", steward);
     }
@@ -219,7 +220,7 @@
     } else {
         reply_with_error(responder,
                          {error_kind::not_found, request.method + " " + request.path +
-                                                     " is not a page of this host; see docs/INTERFACES.md"});
+                                                     " is not served by this host; see docs/INTERFACES.md"});
     }
 }
 
@@ -387,9 +388,9 @@
         responder->write(to_event("", delta));
         return;
     case stream_part::kind::restart:
-        responder->write(
-            to_event("laurelhoist.restart", {{"reason", "the answer begins anew; drop what came before"},
-                                             {"model", part.summary.version}}));
+        responder->write(to_event("laurelhoist.restart",
+                                  {{"reason", "the answer restarts; discard the text received so far"},
+                                   {"model", part.summary.version}}));
         return;
     case stream_part::kind::end:
         responder->write(to_event("laurelhoist.end", part.summary.body["laurelhoist"]));
@@ -459,7 +460,7 @@
     for (const std::string& data : found->second.events.add(piece)) {
         const auto current = streams_.find(call_id);
         if (current == streams_.end()) {
-            return; // A part before this one ended the call.
+            return; // An earlier event of this piece ended the call.
         }
         if (data == "[DONE]") {
             current->second.is_complete = true;
@@ -618,9 +619,10 @@
     const node_message& message = *value_of(decoded);
     if (const auto* hello = std::get_if<hello_message>(&message)) {
         if (!is_proven(*hello, FLAGS_fleet_key, wall_clock_ms())) {
-            log_warning("hello_refused",
-                        {{"from", connection->second.address},
-                         {"remedy", "give every host the same --fleet_key and a clock within a minute"}});
+            log_warning(
+                "hello_refused",
+                {{"from", connection->second.address},
+                 {"remedy", "use the same --fleet_key on every host and keep the clocks within a minute"}});
             links_.close(link);
             return;
         }
@@ -661,7 +663,7 @@
 
 int main(int argc, char** argv) {
     laurelhoist::read_settings(
-        &argc, &argv, "laurel-entry: takes callers' requests and routes each to an allowed version.");
+        &argc, &argv, "laurel-entry: accepts callers' requests and routes each to an allowed version.");
     laurelhoist::start_log("laurel-entry", FLAGS_name);
     laurelhoist::entry_program program;
     program.run();
--- a/src/programs/laurel_load.cpp
+++ b/src/programs/laurel_load.cpp
@@ -1,7 +1,7 @@
 /** \file
- * The program laurel-load: callers of a running fleet. It sends a mixed load in an open loop, as callers
- * do (asks which entry to use, keeps the answer, repeats only what may be repeated, with the same key),
- * and then compares what it got with the ledger and with what the stand-ins did. Ends with a table.
+ * The program laurel-load: a load generator for a running fleet. It sends a mixed open-loop load as callers
+ * do: it discovers the entries, and retries with the same idempotency key. At the end it compares the answers
+ * with the ledger and with the calls that the stand-ins executed, and prints a table.
  */
 #include "ledger/ledger.h"
 #include "programs/common.h"
@@ -17,25 +17,28 @@
 #include <unordered_map>
 
 DEFINE_string(entries, "127.0.0.1:16010,127.0.0.1:16011,127.0.0.1:16012",
-              "entries to ask first, separated by commas");
+              "initial entry addresses, separated by commas");
 DEFINE_string(direct, "",
-              "engine addresses to call without laurelhoist, to compare with; empty: through the entries");
-DEFINE_string(direct_version, "nacrt@1", "the version to ask the engines for");
-DEFINE_string(controls, "", "control addresses of stewards, to read the ledger; empty: do not");
-DEFINE_string(operator_key, "", "key of the stewards' control pages");
-DEFINE_string(standin, "", "address of the stand-in's control page, to count doubled calls; empty: do not");
+              "engine addresses to call directly, as a baseline; empty: call through the entries");
+DEFINE_string(direct_version, "nacrt@1", "version to request in direct calls to engines");
+DEFINE_string(controls, "",
+              "control addresses of stewards to read the ledger from; empty: skip the ledger check");
+DEFINE_string(operator_key, "", "operator key that authenticates to the stewards");
+DEFINE_string(
+    standin, "",
+    "control address of the stand-in, to count calls that were executed twice; empty: skip this check");
 DEFINE_string(teams, "osijek,vukovar,vinkovci,dakovo,nasice", "teams; the key of each is <team>-key");
 DEFINE_string(service, "claims", "plain service to call");
-DEFINE_string(single_call, "submit", "its call that may not be repeated");
-DEFINE_string(bad_version, "", "the version known to be bad, to count its answers");
+DEFINE_string(single_call, "submit", "non-idempotent call of that service");
+DEFINE_string(bad_version, "", "version known to be bad, whose answers are counted; empty: none");
 DEFINE_double(rate, 50, "requests a second");
-DEFINE_double(seconds, 10, "how long");
+DEFINE_double(seconds, 10, "duration of the load in seconds");
 DEFINE_double(stream_share, 0.2, "share of streamed requests");
 DEFINE_double(service_share, 0.2, "share of service calls");
-DEFINE_double(costly_price, 20, "price of 1,000 tokens of the costliest version, for the comparison");
-DEFINE_int32(tokens, 20, "tokens of an answer");
+DEFINE_double(costly_price, 20, "price of 1,000 tokens of the costliest version, for the cost comparison");
+DEFINE_int32(tokens, 20, "tokens per answer");
 DEFINE_uint64(seed, 1, "seed of the load");
-DEFINE_bool(only_seeds, false, "use the entries of --entries and ask for no others");
+DEFINE_bool(only_seeds, false, "use only the entries of --entries, without discovery");
 DEFINE_bool(json, false, "print JSON instead of a table");
 
 namespace laurelhoist {
@@ -60,7 +63,7 @@
     bool is_stream = false;
     std::size_t session = 0;
     std::string prompt;
-    time_point intended_start;
+    time_point intended_start; ///< arrival time, from which latencies are measured
     int attempts = 0;
     bool has_first_token = false;
 };
@@ -172,7 +175,7 @@
     FLAGS_direct.empty() ? send(operation) : send_direct(operation);
 }
 
-// Asks one entry after the other until one answers: any of them can tell.
+// Asks a random known entry for the list of entries; the current list stays if the request fails.
 void load_program::refresh_entries() {
     if (!FLAGS_direct.empty() || FLAGS_only_seeds) {
         return;
@@ -322,7 +325,7 @@
     const json body = json::parse(answer.body, nullptr, false);
     const json failure = body.is_object() ? body.value("error", json::object()) : json::object();
     const int wait_ms = std::max(100, failure.value("retry_after_ms", 300));
-    // Every request carries a key, so every one may be sent again: the key keeps it from running twice.
+    // Every request carries an idempotency key, which keeps a retry from executing it a second time.
     if (operation->attempts < max_attempts) {
         loop_.after(milliseconds(wait_ms), [this, operation] { send(operation); });
         return;
@@ -335,7 +338,7 @@
     --open_operations_;
 }
 
-// ---- the account ----
+// ---- comparison with the ledger and the stand-ins ----
 
 void load_program::verify_when_finished() {
     if (!is_load_finished_ || open_operations_ > 0) {
@@ -416,22 +419,22 @@
             std::cout << "  " << std::left << std::setw(46) << name << value << '\n';
         };
         row("requests", report_.asked);
-        row("whole answers", report_.whole);
-        row("refusals (not run), after all tries", report_.refused);
-        row("failures (may have run), after all tries", report_.failed);
-        row("lost (no final answer at all)", report_.lost);
+        row("complete answers", report_.whole);
+        row("refusals (not executed), after all attempts", report_.refused);
+        row("failures (maybe executed), after all attempts", report_.failed);
+        row("lost (no final answer)", report_.lost);
         row("answers of another request", report_.foreign);
-        row("duplicates (single calls done twice)", report_.doubled_calls);
+        row("non-idempotent calls executed twice", report_.doubled_calls);
         row("billed requests", report_.billed);
-        row("whole answers without a bill", report_.unbilled);
+        row("complete answers without a bill", report_.unbilled);
         row("answers from the bad version", report_.bad_released);
         row("  of these below the score", report_.bad_below);
-        row("model answers at the score, share",
+        row("share of model answers at or above the score",
             static_cast<double>(report_.good) /
                 static_cast<double>(std::max<std::int64_t>(1, report_.model_answers)));
-        row("streams begun anew", report_.restarts);
+        row("restarted streams", report_.restarts);
         row("cost", report_.cost);
-        row("cost, always the costly version", report_.cost_always_costly);
+        row("cost with only the costly version", report_.cost_always_costly);
         row("p50 / p95 / p99 in ms", std::to_string(report_.p50_ms) + " / " + std::to_string(report_.p95_ms) +
                                          " / " + std::to_string(report_.p99_ms));
         row("first token, p95 in ms", report_.first_token_p95_ms);
@@ -445,7 +448,7 @@
 
 int main(int argc, char** argv) {
     laurelhoist::read_settings(&argc, &argv,
-                               "laurel-load: plays the callers of a running fleet and checks what they get.");
+                               "laurel-load: sends load to a running fleet and checks the answers.");
     laurelhoist::start_log("laurel-load", "");
     laurelhoist::load_program program;
     return program.run();
--- a/src/programs/laurel_soak.cpp
+++ b/src/programs/laurel_soak.cpp
@@ -1,6 +1,6 @@
 /** \file
- * The program laurel-soak: long random runs with every invariant asserted, for as long as asked. Each run
- * has a seed; a violated invariant prints the seed and ends the program.
+ * The program laurel-soak: long randomized runs that check every invariant. Each run has its own seed; the
+ * first violated invariant is printed with its seed and ends the program.
  */
 #include "simulation/simulation.h"
 
@@ -8,14 +8,14 @@
 
 #include <iostream>
 
-DEFINE_uint64(seed, 1, "seed of the first run; the following runs count up");
-DEFINE_uint64(runs, 20, "how many runs");
-DEFINE_uint64(seconds, 120, "virtual seconds of disturbance in each run");
-DEFINE_uint64(wall_seconds, 0, "stop after this many real seconds; 0: when the runs are done");
-DEFINE_double(disturbances, 0.7, "mean number of disturbances a virtual second");
-DEFINE_string(site, "brazda", "sizes: brazda or consorzio");
-DEFINE_string(disable, "", "guards to switch off, separated by commas, to see whether a run notices");
-DEFINE_bool(verbose, false, "log what the nodes say");
+DEFINE_uint64(seed, 1, "seed of the first run; each following run uses the next number");
+DEFINE_uint64(runs, 20, "number of runs");
+DEFINE_uint64(seconds, 120, "virtual seconds of fault injection in each run");
+DEFINE_uint64(wall_seconds, 0, "stop after this many real seconds; 0: no limit");
+DEFINE_double(disturbances, 0.7, "mean number of faults and operator commands per virtual second");
+DEFINE_string(site, "brazda", "fleet sizes to simulate: brazda or consorzio");
+DEFINE_string(disable, "", "guards to switch off, separated by commas, to check that a run detects it");
+DEFINE_bool(verbose, false, "log the messages of the nodes");
 
 namespace laurelhoist {
 
@@ -89,7 +89,7 @@
                               {"after_runs", done},
                               {"virtual_seconds", virtual_seconds}}
                              .dump()
-                      << "\nrepeat with: laurel-soak --runs=1 --seed=" << seed
+                      << "\nreproduce with: laurel-soak --runs=1 --seed=" << seed
                       << " --seconds=" << FLAGS_seconds << " --site=" << FLAGS_site
                       << (FLAGS_disable.empty() ? "" : " --disable=" + FLAGS_disable) << '\n';
             return 1;
@@ -117,7 +117,7 @@
 int main(int argc, char** argv) {
     laurelhoist::read_settings(
         &argc, &argv,
-        "laurel-soak: long random runs of the decisions under faults, with every invariant asserted.");
+        "laurel-soak: long randomized runs of the decision code under faults that check every invariant.");
     laurelhoist::start_log("laurel-soak", "");
     if (!FLAGS_verbose) {
         laurelhoist::quiet_log();
--- a/src/programs/laurel_standin.cpp
+++ b/src/programs/laurel_standin.cpp
@@ -1,6 +1,7 @@
 /** \file
- * The program laurel-standin: small stand-ins for everything that laurelhoist meets, in one process, with
- * faults switched on by HTTP. For tests and the demo only.
+ * The program laurel-standin: stand-ins for the systems that laurelhoist depends on, in one process: the
+ * platform, engines, the rating service and plain services. Faults are injected over HTTP. For tests and the
+ * demo only.
  */
 #include "programs/common.h"
 #include "standin/standin.h"
@@ -9,7 +10,8 @@
 
 #include <fstream>
 
-DEFINE_string(config, "examples/standin-brazda.json", "file that says which stand-ins run where");
+DEFINE_string(config, "examples/standin-brazda.json",
+              "JSON file that lists the stand-ins and their addresses");
 
 namespace laurelhoist {
 
@@ -19,7 +21,7 @@
     std::ifstream file(FLAGS_config);
     const json document = json::parse(file, nullptr, false);
     require_setting(document.is_object(), "config", FLAGS_config,
-                    "name a readable JSON file, as examples/standin-brazda.json");
+                    "give a readable JSON file such as examples/standin-brazda.json");
     return document.get<standin_plan>();
 }
 
@@ -161,7 +163,8 @@
 
 int main(int argc, char** argv) {
     laurelhoist::read_settings(
-        &argc, &argv, "laurel-standin: stands in for platform, engines, rating and services in tests.");
+        &argc, &argv,
+        "laurel-standin: simulates the platform, engines, rating service and plain services for tests.");
     laurelhoist::start_log("laurel-standin", "");
     laurelhoist::standin_program program;
     program.run();
--- a/src/programs/laurel_steward.cpp
+++ b/src/programs/laurel_steward.cpp
@@ -1,6 +1,6 @@
 /** \file
- * The program laurel-steward: links, the platform's object API and the operators' interface around the
- * steward's decisions.
+ * The program laurel-steward: connects steward_core to the network. It keeps links to entries and other
+ * stewards, calls the platform's object API and serves the operators' HTTP interface.
  */
 #include "node/node.h"
 #include "programs/common.h"
@@ -13,11 +13,11 @@
 DEFINE_string(domain, "", "the failure domain of this host");
 DEFINE_string(listen, "127.0.0.1:7000", "address for entries and other stewards");
 DEFINE_string(control, "127.0.0.1:7100", "address for operators' commands");
-DEFINE_string(peers, "", "addresses of other stewards to begin with, separated by commas");
+DEFINE_string(peers, "", "initial addresses of other stewards, separated by commas");
 DEFINE_string(platform, "127.0.0.1:6000", "address of the platform's object API");
-DEFINE_uint32(platform_timeout_ms, 2000, "how long a call of the platform may take");
+DEFINE_uint32(platform_timeout_ms, 2000, "timeout of a call to the platform in ms");
 DEFINE_uint32(endpoint_subset, 24, "endpoints of a pool that one entry uses");
-DEFINE_string(operator_key, "", "key that operators' commands carry");
+DEFINE_string(operator_key, "", "key that authenticates operators");
 DEFINE_string(fleet_key, "", "key shared by entries and stewards");
 DEFINE_string(charts, "charts", "directory of the state charts");
 
@@ -27,7 +27,7 @@
 
 constexpr duration tick_interval = milliseconds(100);
 constexpr duration connect_interval = seconds(1);
-constexpr duration watch_wait = seconds(10);
+constexpr duration watch_wait = seconds(10); // how long the platform may hold a watch without a change
 
 class steward_program : public steward_port {
 public:
@@ -45,7 +45,7 @@
     struct connection {
         bool is_outgoing = false;
         std::string address;
-        hello_message hello; ///< of the sender side; without incarnation until it has come
+        hello_message hello; ///< received from the other side; the incarnation is empty until then
     };
 
     static steward_settings read_steward_settings();
@@ -204,9 +204,10 @@
 
 void steward_program::on_hello(bool is_outgoing, link_id link, const hello_message& hello) {
     if (!is_proven(hello, FLAGS_fleet_key, wall_clock_ms())) {
-        log_warning("hello_refused",
-                    {{"from", hello.address},
-                     {"remedy", "give every host the same --fleet_key and a clock within a minute"}});
+        log_warning(
+            "hello_refused",
+            {{"from", hello.address},
+             {"remedy", "use the same --fleet_key on every host and keep the clocks within a minute"}});
         is_outgoing ? outgoing_.close(link) : incoming_.close(link);
         return;
     }
@@ -384,8 +385,9 @@
         return;
     }
     if (!equal_in_constant_time(request.header("authorization"), "Bearer " + FLAGS_operator_key)) {
-        reply_with_error(responder, {error_kind::unauthorized,
-                                     "operators' calls carry the operator key; set --operator_key"});
+        reply_with_error(responder,
+                         {error_kind::unauthorized,
+                          "the Authorization header must carry the operator key; set --operator_key"});
     } else if (request.method == "POST" && request.path == "/control/command") {
         on_command(request, responder);
     } else if (request.method == "GET" && request.path == "/control/status") {
@@ -393,7 +395,7 @@
     } else if (request.method == "GET" && request.path == "/control/objects") {
         on_objects(request, responder);
     } else {
-        reply_with_error(responder, {error_kind::not_found, "no such page; see docs/INTERFACES.md"});
+        reply_with_error(responder, {error_kind::not_found, "no such path; see docs/INTERFACES.md"});
     }
 }
 
@@ -478,7 +480,7 @@
     responder->reply(200, {}, body.dump());
 }
 
-// Lets operators' tools read the ledger and the counts through any steward.
+// Serves the ledger and the request counts, read from the platform, to operators' tools.
 void steward_program::on_objects(const http_request& request,
                                  const std::shared_ptr<http_responder>& responder) {
     const std::string prefix = request.parameter("prefix");
@@ -495,8 +497,9 @@
         if (answer.status == 200) {
             responder->reply(200, {}, answer.body);
         } else {
-            reply_with_error(responder, {error_kind::platform_unavailable,
-                                         "the platform does not answer; come back", ran_state::no, 1000});
+            reply_with_error(responder,
+                             {error_kind::platform_unavailable,
+                              "the platform does not answer; try again later", ran_state::no, 1000});
         }
     });
 }
@@ -507,7 +510,7 @@
 
 int main(int argc, char** argv) {
     laurelhoist::read_settings(&argc, &argv,
-                               "laurel-steward: keeps configuration, bills and roll-outs for the entries.");
+                               "laurel-steward: manages configuration, bills and roll-outs for the entries.");
     laurelhoist::start_log("laurel-steward", FLAGS_name);
     laurelhoist::steward_program program;
     program.run();
--- a/src/programs/laurelctl.cpp
+++ b/src/programs/laurelctl.cpp
@@ -1,6 +1,6 @@
 /** \file
- * The program laurelctl: the operators' command line. Every write names the revision that it was decided
- * on, and its answer keeps "accepted" apart from "in force on n of m hosts".
+ * The program laurelctl: the operators' command line. Every write states the revision that it is based on.
+ * Its result reports separately whether the change was accepted and on how many hosts it is in force.
  */
 #include "node/node.h"
 #include "programs/common.h"
@@ -14,11 +14,11 @@
 
 DEFINE_string(stewards, "127.0.0.1:7100",
               "control addresses of stewards, tried in order, separated by commas");
-DEFINE_string(operator_key, "", "key that operators' commands carry");
-DEFINE_string(by, "", "who you are; stands in the record of changes");
-DEFINE_string(reason, "", "why; stands in the record of a withdrawal");
-DEFINE_int64(revision, -1, "the revision that you decided on; -1: the one in force now");
-DEFINE_uint32(wait_ms, 6000, "how long to wait until a change is in force on every host");
+DEFINE_string(operator_key, "", "operator key that authenticates to the stewards");
+DEFINE_string(by, "", "your name, stored in the change history");
+DEFINE_string(reason, "", "reason, stored with a withdrawal");
+DEFINE_int64(revision, -1, "revision that the change is based on; -1: the current one");
+DEFINE_uint32(wait_ms, 6000, "how long to wait until a change is in force on every host, in ms");
 DEFINE_bool(json, false, "print JSON instead of tables");
 
 namespace laurelhoist {
@@ -35,17 +35,17 @@
 };
 
 constexpr const char* usage_text =
-    "laurelctl: signs off, rolls, pauses and withdraws bundles, and shows what became of them.\n\n"
+    "laurelctl: signs off, rolls, pauses and withdraws bundles, and shows the state of the fleet.\n\n"
     "  laurelctl bundle validate FILE          check a bundle without sending it\n"
     "  laurelctl bundle submit FILE            store a bundle\n"
-    "  laurelctl bundle sign-off ID            accept its content as it stands\n"
-    "  laurelctl bundle roll|pause|resume ID   move its roll-out\n"
-    "  laurelctl bundle withdraw ID            end its roll-out for good\n"
-    "  laurelctl bundle status                 every bundle and where it is\n"
+    "  laurelctl bundle sign-off ID            approve its current content\n"
+    "  laurelctl bundle roll|pause|resume ID   start, pause or resume its roll-out\n"
+    "  laurelctl bundle withdraw ID            end its roll-out permanently\n"
+    "  laurelctl bundle status                 state of every bundle\n"
     "  laurelctl version withdraw MODEL@VERSION [...]\n"
     "  laurelctl status                        hosts, revision, stopped versions, changes\n"
     "  laurelctl ledger                        bills by team\n\n"
-    "Exit codes: 0 done, 1 failed, 2 wrong use, 3 another change came first or the command is not possible\n"
+    "Exit codes: 0 done, 1 failed, 2 usage error, 3 conflict with another change or command not possible\n"
     "now, 4 no steward answers, 5 accepted but not yet in force everywhere.";
 
 int fail(int code, const std::string& message) {
@@ -53,7 +53,7 @@
     return code;
 }
 
-/** Asks stewards in turn, waiting for each answer. */
+/** Sends requests to the stewards in turn until one answers; each call blocks. */
 class steward_client {
 public:
     http_answer ask(const std::string& method, const std::string& target, const std::string& body) {
@@ -61,7 +61,8 @@
         last.what = http_answer::result::not_sent;
         for (const std::string& address : split_list(FLAGS_stewards)) {
             last = ask_one(require_address("stewards", address), method, target, body);
-            // A write that was sent is not sent again to another: its answer may only have been lost.
+            // A write that may have been received is not sent to another steward: perhaps only its answer was
+            // lost.
             if (last.what == http_answer::result::answered ||
                 (method != "GET" && last.what != http_answer::result::not_sent)) {
                 return last;
@@ -86,7 +87,7 @@
     }
 };
 
-/** \return the exit code for an answer that is not a success, after telling the operator. */
+/** Prints why \p answer is not a success. \return the exit code for it */
 int print_failure(const http_answer& answer) {
     if (answer.what == http_answer::result::not_sent) {
         return fail(exit_unreachable, "no steward answers at " + FLAGS_stewards +
@@ -233,7 +234,7 @@
     } else {
         std::cout << (result.value("accepted", false)
                           ? "accepted"
-                          : "written, but not yet held by a majority of the stewards")
+                          : "written, but not yet stored by a majority of the stewards")
                   << ": revision " << result["revision"] << ", held by " << result["held_by"] << " of "
                   << result["stewards"] << " stewards\nin force on " << result["in_force_on"] << " of "
                   << result["hosts"] << " entry hosts\n";
@@ -324,12 +325,13 @@
     const auto head = (*body)["head"].get<fleet_head>();
     std::cout << "revision " << head.revision << ", confirmed "
               << ((*body)["confirmed_age_ms"].is_null()
-                      ? std::string("NEVER: the platform is dark and no majority answers")
+                      ? std::string(
+                            "NEVER: the platform is unavailable and no majority of the stewards answers")
                       : std::to_string((*body)["confirmed_age_ms"].get<int>()) + " ms ago")
               << "; in force on " << (*body)["in_force"] << " of " << (*body)["entries"].size()
               << " entry hosts\n"
               << "established " << (head.established.empty() ? "-" : head.established) << ", rolling "
-              << (head.rolling.empty() ? "-" : head.rolling) << "; bills waiting for the platform "
+              << (head.rolling.empty() ? "-" : head.rolling) << "; bills not yet written to the platform "
               << (*body)["bills_waiting"] << "\n\n";
     print_stops("withdrawn", head.withdrawn);
     print_stops("braked", head.braked);
@@ -421,8 +423,9 @@
                                         "\" needs an operand; see laurelctl --help");
         }
         if (entry.is_write && FLAGS_by.empty()) {
-            return fail(exit_usage,
-                        "say who you are with --by=NAME (or LAUREL_BY); it stands in the record of changes");
+            return fail(
+                exit_usage,
+                "say who you are with --by=NAME (or LAUREL_BY); the name is stored in the change history");
         }
         return entry.run(arguments);
     }
--- a/test/burn_report_test.cpp
+++ b/test/burn_report_test.cpp
@@ -28,6 +28,8 @@
 
 } // namespace
 
+// Guards against burn rates over the wrong events: an unrated answer must not count for quality, and an
+// answer of a stopped version must count as exposure.
 TEST(burn_report, burn_rate_is_the_bad_share_over_the_allowed_share) {
     burn_input input;
     input.now_ms = 1060000;
@@ -51,6 +53,7 @@
     EXPECT_NEAR(report.versions[0].cost_share, 0.8, 1e-9);
 }
 
+// Guards against a burn rate over 5 minutes that includes a bill from 10 minutes ago.
 TEST(burn_report, records_older_than_the_window_are_not_counted) {
     burn_input input;
     input.now_ms = 1000000 + 10 * 60000;
--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -1,11 +1,11 @@
 #!/usr/bin/env python3
-"""Plays days with each mechanism of the decisions switched off in turn and prints what it is worth.
+"""Runs benchmark days with each decision mechanism switched off in turn and prints the change of the score.
 
     tools/ablation.py --bench PROGRAM --tree SCRATCH_CLONE --seeds 11-13 SITE...
 
-PROGRAM plays one day: `PROGRAM run SITE DAY --seed N --no-cpu --report FILE`, which writes its worth as `G`. The tree
-is a clone of this repository that may be written to: its settings template is changed for each mechanism and put back.
-Differences are paired, play by play; their standard error stands behind them.
+PROGRAM simulates one day: `PROGRAM run SITE DAY --seed N --no-cpu --report FILE` writes the score of the day as `G`.
+The tree is a writable clone of this repository: its settings template is changed for each mechanism and restored.
+Differences are paired by day and seed; each mean is followed by its standard error.
 """
 import argparse
 import concurrent.futures
--- a/tools/bench_entry.sh
+++ b/tools/bench_entry.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# What a request costs in an entry: calls of a plain service directly and through one entry, in one run on
-# one machine, and the processor time and memory that the entry used. Writes docs/data/entry_cost.csv.
+# Measures the overhead of an entry: calls a plain service directly and through one entry, in one run on one
+# machine, and records latency, CPU time and memory of the entry. Writes docs/data/entry_cost.csv.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 source tools/fleet.sh
--- a/tools/check_style.sh
+++ b/tools/check_style.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Fails if clang-format or clang-tidy finds anything in our sources. Needs build/release to be configured.
+# Fails if clang-format or clang-tidy reports anything in the C++ sources. Needs a configured build/release.
 #   tools/check_style.sh [format|lint]
 set -euo pipefail
 cd "$(dirname "$0")/.."
--- a/tools/fleet.sh
+++ b/tools/fleet.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
 # Starts and stops a small fleet on this machine: one stand-in, 3 stewards, 3 entries.
 #   tools/fleet.sh start brazda|consorzio     tools/fleet.sh stop
-# Sourced by the demo for its functions. Logs and process ids go to out/.
+# The demo and tools/bench_entry.sh source it for its functions. Logs and process ids go to out/.
 set -euo pipefail
 cd "$(dirname "${BASH_SOURCE[0]}")/.."
 BIN=${LAUREL_BIN:-build/release/bin}
@@ -15,14 +15,14 @@
   case $SITE in
     brazda) PORT=16000; DOMAINS=(osk-hall1 osk-hall2 vuk-hall1 sb-hall1); CHEAP=nacrt; COSTLY=savjet ;;
     consorzio) PORT=17000; DOMAINS=(pa-nord pa-sud pa-porto pa-monreale); CHEAP=bozza; COSTLY=atto ;;
-    *) echo "fleet.sh: the sites are brazda and consorzio" >&2; exit 2 ;;
+    *) echo "fleet.sh: unknown site; the sites are brazda and consorzio" >&2; exit 2 ;;
   esac
   STEWARDS=127.0.0.1:$((PORT + 20)),127.0.0.1:$((PORT + 21)),127.0.0.1:$((PORT + 22))
   CONTROLS=127.0.0.1:$((PORT + 30)),127.0.0.1:$((PORT + 31)),127.0.0.1:$((PORT + 32))
   STANDIN=127.0.0.1:$((PORT + 2))
 }
 
-launch() { # name program args...: starts a process and notes its id
+launch() { # name program args...: starts a process and stores its process id
   local name=$1; shift
   "$@" >>"$OUT/$name.log" 2>&1 &
   echo $! >"$OUT/$name.pid"
@@ -46,7 +46,7 @@
 
 fault() { curl -sf -X POST "http://$STANDIN/faults" -d "$1" >/dev/null; }
 
-wait_ready() { # address...: until /readyz says so
+wait_ready() { # address...: waits until /readyz replies 200
   local address
   for address in "$@"; do
     for _ in $(seq 300); do
@@ -64,7 +64,7 @@
   kill "-${2:-TERM}" "$(cat "$file")" 2>/dev/null || true
 }
 
-await_exit() { # name: until the process is gone
+await_exit() { # name: waits until the process has exited
   local file=$OUT/$1.pid
   while kill -0 "$(cat "$file")" 2>/dev/null; do sleep 0.1; done
   rm -f "$file"
--- a/tools/guards.sh
+++ b/tools/guards.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Switches each guard off in turn and says which random run notices, how soon, and by which promise.
+# Switches each guard off in turn and prints which random run detects it, how soon, and by which invariant.
 #   tools/guards.sh [runs] [virtual seconds a run]
 set -euo pipefail
 cd "$(dirname "$0")/.."
@@ -11,7 +11,7 @@
   local line
   line=$(build/release/bin/laurel-soak --runs="$2" --seconds="$3" --disable="$1" 2>/dev/null | grep '^{"after' || true)
   if [ -z "$line" ]; then
-    echo "| $1 | not noticed in $2 runs | | |"
+    echo "| $1 | not detected in $2 runs | | |"
   else
     echo "$line" | python3 -c 'import json, sys
 d = json.load(sys.stdin)
@@ -20,6 +20,6 @@
   fi
 }
 export -f check
-echo "| guard switched off | noticed by | after | broken promise |"
+echo "| guard switched off | detected by | after | violated invariant |"
 echo "| --- | --- | --- | --- |"
 printf '%s\n' $guards | xargs -P "$(nproc)" -I{} bash -c "check {} $runs $length" | sort
--- a/tools/make_capacity.py
+++ b/tools/make_capacity.py
@@ -1,6 +1,6 @@
 #!/usr/bin/env python3
-"""Makes docs/CAPACITY.md from the measured slopes in docs/data (laurel-bench --experiment=control,
-tools/bench_entry.sh) and the sizes of the first letter. Run it again after measuring again."""
+"""Generates docs/CAPACITY.md from the measured slopes in docs/data (laurel-bench --experiment=control,
+tools/bench_entry.sh) and the target fleet size. Run it again after each new measurement."""
 import csv
 import pathlib
 
@@ -29,7 +29,7 @@
     return row[column] * (row["entries"] + row["stewards"])
 
 
-# Bytes: what one more entry adds over all links; what one ordered pair of stewards adds.
+# Bytes per second that each further entry adds over all links, and that each ordered pair of stewards adds.
 entries = varied("entries")
 entry_bytes = (total(entries[-1], "bytes_per_node_s") - total(entries[0], "bytes_per_node_s")) / (
     entries[-1]["entries"] - entries[0]["entries"])
@@ -68,26 +68,26 @@
     table.append(f"| {role} | {what} | {text} {unit} | {'' if allowed is None else f'{allowed:,} {unit}'} | {fits} | {how} | {mend} |")
 
 
-row("entry", "questions and confirmations, both ways", entry_bytes, "B/s", ALLOWED_BYTES,
+row("entry", "freshness requests and confirmations, both ways", entry_bytes, "B/s", ALLOWED_BYTES,
     f"slope over 6 to 96 entries, {LINKS} links", "")
 row("entry", "configuration, sent and received", change_bytes * changes_s, "B/s", ALLOWED_BYTES,
     f"slope over 0 to 1 changes/s, at {changes_s:.3f}/s", "")
 row("entry", "list of entries, at each exit and return", 3 * EXITS_A_DAY / DAY * ENTRIES * ENTRY_RECORD * LINKS, "B/s",
     ALLOWED_BYTES, f"3 changes for each of {EXITS_A_DAY} exits a day, {ENTRY_RECORD} B an entry, {LINKS} links; not measured at this size",
-    "send the difference of the list, as stewards already do among themselves: some 0.1 KB a change")
+    "send only the difference of the list, as stewards already do among themselves: about 0.1 KB a change")
 row("entry", "subset of endpoints, at each change", EXITS_A_DAY / DAY * SUBSET / ENDPOINTS * SUBSET * ENDPOINT_RECORD * LINKS + 1,
     "B/s", ALLOWED_BYTES, f"{SUBSET} of {ENDPOINTS} endpoints; a change matters to {SUBSET}/{ENDPOINTS} of the entries", "")
 row("entry", "bills, both ways", request_bytes * per_entry, "B/s", ALLOWED_BYTES,
     f"slope over 0 to 180 requests/s: {request_bytes:,.0f} B a request, at {per_entry:.0f} requests/s",
-    "not control by our reading, but over 6 KB/s: code records as arrays with numbers for names, acknowledge by number; some 150 B a request")
+    "not counted as control traffic, but over 6 KB/s: encode records as arrays with numbers for names, acknowledge by number; about 150 B a request")
 row("entry", "processor time for control", entry_cpu + change_cpu * changes_s, "ms/s", ALLOWED_CPU_MS,
     "slope over 6 to 96 entries, includes the steward's part", "")
 row("entry", "processor time for requests", per_entry * request_cpu, "ms/s", None,
     f"{request_cpu:.2f} ms a request (largest of 30 to 300 requests/s), links and HTTP included", "")
 row("entry", "memory", resident_mb + open_streams * STREAM_KB / 1000, "MB", ALLOWED_MB,
     f"{resident_mb:.0f} MB resident and {STREAM_KB} KB for each of {open_streams:,.0f} open streams", "")
-row("steward", "questions of entries, both ways", entry_bytes * ENTRIES / STEWARDS, "B/s", ALLOWED_BYTES,
-    f"{entry_links:.0f} links", "2 links an entry instead of 3, and fields coded by number: some 4 KB/s")
+row("steward", "freshness requests of entries, both ways", entry_bytes * ENTRIES / STEWARDS, "B/s", ALLOWED_BYTES,
+    f"{entry_links:.0f} links", "2 links an entry instead of 3, and fields encoded by number: about 4 KB/s")
 row("steward", "other stewards, both ways", peers * pair_bytes * 2 / 2, "B/s", ALLOWED_BYTES,
     f"{pair_bytes:,.0f} B/s an ordered pair, largest of 4, 9 and 18 stewards", "")
 row("steward", "list of endpoints from the platform", 2 * EXITS_A_DAY / DAY * ENDPOINTS * ENDPOINT_RECORD, "B/s", ALLOWED_BYTES,
@@ -96,19 +96,19 @@
 row("steward", "processor time, entries and peers", entry_cpu * ENTRIES / STEWARDS + pair_cpu * peers, "ms/s", ALLOWED_CPU_MS,
     "slopes over entries and stewards", "")
 row("steward", "processor time, endpoints", endpoint_cpu * ENDPOINTS, "ms/s", ALLOWED_CPU_MS,
-    "slope over 22 to 1804 endpoints, the world's own share included", "work out what an engine should load only when head or list change")
-row("steward", "memory, nothing waiting", resident_mb + ENDPOINTS * 1.0 / 1000 + ENTRIES * SUBSET * 0.3 * LINKS / STEWARDS / 1000, "MB",
+    "slope over 22 to 1804 endpoints, the simulator's own share included", "work out what an engine should load only when head or list change")
+row("steward", "memory, no bills waiting", resident_mb + ENDPOINTS * 1.0 / 1000 + ENTRIES * SUBSET * 0.3 * LINKS / STEWARDS / 1000, "MB",
     ALLOWED_MB, "an entry's resident size, 1 KB an endpoint, 0.3 KB for each endpoint of each link's last push", "")
-row("steward", "memory after 150 s of dark platform at the peak", 15 + 150 * REQUESTS * 2 / STEWARDS * BILL_MEMORY / 1e6, "MB",
+row("steward", "memory after 150 s of platform outage at the peak", 15 + 150 * REQUESTS * 2 / STEWARDS * BILL_MEMORY / 1e6, "MB",
     ALLOWED_MB, f"{BILL_MEMORY} B a waiting bill, 2 holders; bounded at 200,000 bills, then refusals before release",
-    "keep waiting bills as bytes (some 80 B): 15 minutes")
+    "keep waiting bills as encoded bytes (about 80 B): 15 minutes")
 row("platform", "reads", reads_a_steward * STEWARDS, "1/s", 2000, f"{reads_a_steward:.2f}/s a steward, any number of entries; plus one waiting watch a steward", "")
 row("platform", "ledger segments", float(STEWARDS), "writes/s", 300, f"at most one a second a steward, up to 2,000 bills each; {REQUESTS * 2 / STEWARDS:,.0f} bills/s a steward", "")
 row("platform", "configuration and roll-outs", changes_s, "writes/s", 300, "one conditional update a change, and one read", "")
 row("platform", "keyed calls that may not be repeated", 150.0, "1/s", None, "2 writes and 1 read each beside the rest of several hundred writes/s",
     "claims of one team written together, if more are needed")
 row("operator tools", "laurelctl, laurel-burn", 3.0, "calls", None, "a status, a command, reads of ledger/ or counts/ through one steward",
-    "laurel-burn reads the whole ledger: give it a first segment, or roll segments up by hour")
+    "laurel-burn reads the whole ledger: let it start at a given segment, or aggregate segments by hour")
 
 text = f"""# Capacity
 
@@ -122,7 +122,7 @@
 ({TOKENS / REQUESTS:.0f} a request, {open_streams:,.0f} open streams a node at 41 ms a token), {CHANGES_A_DAY:,} changes a day ({changes_s:.3f}/s), {EXITS_A_DAY:,} host exits a day,
 3 regions, 9 failure domains. Allowed for control: 1.1% of a core ({ALLOWED_CPU_MS} ms/s), {ALLOWED_MB} MB, 6 KB/s a node. {STEWARDS} stewards, two a domain.
 
-| role | what | at full size | allowed | | worked out from | what would mend it |
+| role | what | at full size | allowed | | derived from | possible remedy |
 | --- | --- | --- | --- | --- | --- | --- |
 {chr(10).join(table)}
 
@@ -130,27 +130,27 @@
 
 | role | holds | lost with it |
 | --- | --- | --- |
-| entry | one configuration, {SUBSET} endpoints a pool with their load, open requests, learned quality (at most 20,000 beliefs), bills until drained | open requests (callers are cut off and repeat what they may), what it had learned |
+| entry | one configuration, {SUBSET} endpoints a pool with their load, open requests, learned quality (at most 20,000 beliefs), bills until drained | open requests (callers are disconnected and retry where that is safe), learned quality |
 | steward | 16 configurations, all endpoints, counts of versions by entry, undrained bills, unfinished claims | nothing that another steward or an entry does not hold, but for the losses of docs/PROMISES.md |
-| platform | everything that lasts: head, bundles, claims, ledger, counts | |
-| caller | session token, the answer of /v1/entries for 5 s | its pins |
+| platform | all durable state: head, bundles, claims, ledger, counts | |
+| caller | session token, the answer of /v1/entries for 5 s | the pinned versions of its sessions |
 
-## The mechanism that carries each
+## Mechanisms by target
 
 - **6,100 workers over 400 nodes:** a subset of {SUBSET} a pool by rendezvous hash, spread over the failure domains; an endpoint is
   used by {ENTRIES * SUBSET / ENDPOINTS:.1f} entries on average, at most 20 in the test `subsets_share_out_the_endpoints`. Load travels with answers, not as reports:
   reports to all would be 6,100 a node and second.
 - **Changes in force within 5 s:** the steward that wrote pushes a difference to peers and entries (47 ms in the experiment
-  `withdrawal`); a host that cannot be reached stops serving 3 s after its last confirmation. Both bounds do not depend on size.
+  `withdrawal`); a host that cannot be reached stops serving 3 s after its last confirmation. Neither bound depends on size.
 - **1,320 exits a day:** an entry is out of the directory 3 s after it falls silent, at once when it is stopped; a steward
   that is replaced takes its old place on the list with one write.
 - **A rack, a domain:** choices of entries and subsets alternate over domains; bills stand in two domains. `outage.csv`: a lost
-  domain of four, with the platform dark on top, left 99.6% of requests answered.
+  domain of four, with the platform unavailable as well, left 99.6% of requests answered.
 - **A region; regions apart for minutes:** not built. With 18 stewards over 3 regions, a region that sees neither the platform nor
-  a majority refuses within 3 s, truly not run; with the platform in reach it goes on. Weighed for later: one list of
+  a majority refuses within 3 s, with requests certainly not run; with the platform in reach it goes on. Options: one list of
   stewards a region with the platform's own replication, or accepting commands by region.
 - **A roll-out on most days:** evidence is counters, {TEAMS} teams do not enlarge them; a step waits for loaded capacity, so the weight
-  store's rate stretches a roll-out and harms nothing. An order goes out from one steward for each engine.
+  store's rate only prolongs a roll-out. One steward sends the orders for each engine.
 - **First token in 0.87 s, 41 ms between tokens at p95:** the entry adds 0.6 ms at p50 and 0.8 ms at p99 at 30 requests a second
   (`entry_cost.csv`); the rest is the engines' and their queues', which the choice of endpoint keeps short.
 """
--- a/tools/make_examples.py
+++ b/tools/make_examples.py
@@ -1,7 +1,7 @@
 #!/usr/bin/env python3
-"""Writes the sample bundles and stand-in plans under examples/, so that their keys and sizes agree.
+"""Generates the sample bundles and stand-in plans under examples/, so that their keys and sizes agree.
 
-The team keys of the samples are "<team>-key"; only their SHA-256 stands in a bundle.
+The team keys of the samples are "<team>-key"; a bundle holds only their SHA-256.
 """
 import hashlib
 import json
@@ -31,7 +31,7 @@
 def bundle(site, number, pools, cheap, costly, service, teams, steps):
     models = [cheap, costly]
     if cheap["version"] != "1":
-        # Sessions may stay on version 1 while and after the new one is rolled.
+        # Sessions may stay on version 1 during and after the roll-out of the new version.
         models.append({**cheap, "version": "1"})
         for entry in teams:
             entry["allow"] = [f"{cheap['name']}@1"]
--- a/tools/make_traces.py
+++ b/tools/make_traces.py
@@ -1,6 +1,6 @@
 #!/usr/bin/env python3
-"""Makes the recorded traces under traces/ from a seed: the days that the users described, with what must
-come out. Traces recorded in an entry (laurel-entry --record) have the same form."""
+"""Generates the traces under traces/ from fixed seeds. Each trace is a scenario that the users described, with its
+faults and the outcome that a replay must reach. A trace recorded by an entry (laurel-entry --record) has the same form of request lines."""
 import json
 import pathlib
 import random
