--- a/src/programs/laurel_entry.cpp
+++ b/src/programs/laurel_entry.cpp
@@ -45,7 +45,8 @@
 /** Parses a stream of server-sent events that arrives in pieces of any size. */
 class sse_parser {
 public:
-    /** \return the data fields of the events that \p piece completes; other fields are ignored. */
+    /** \return the data of the events that \p piece completes; events that do not start with it are skipped.
+     */
     std::vector<std::string> add(const std::string& piece) {
         text_ += piece;
         std::vector<std::string> events;
@@ -513,13 +514,13 @@
     const bool is_not_run = !answer.header("x-not-run").empty();
     arrived.says = parse_endpoint_statement(answer);
     const bool is_service = call.version.empty();
-    const bool is_whole_answer = answer.what == http_answer::result::answered;
+    const bool has_full_response = answer.what == http_answer::result::answered;
     const bool is_leaving = is_not_run && !answer.header("x-leaving").empty();
     if (is_leaving) {
         arrived.result = call_result::leaving;
     } else if (is_not_run || answer.what == http_answer::result::not_sent) {
         arrived.result = call_result::refused_not_run;
-    } else if (is_whole_answer && (answer.status == 200 || is_service)) {
+    } else if (has_full_response && (answer.status == 200 || is_service)) {
         arrived.result = call_result::answered;
     }
     const auto open = streams_.find(call.call_id);
@@ -537,11 +538,11 @@
         if (!is_service) {
             const json::json_pointer text("/choices/0/message/content");
             const json::json_pointer tokens("/usage/completion_tokens");
-            const bool is_whole =
+            const bool is_well_formed =
                 arrived.body.is_object() && arrived.body.contains(text) && arrived.body[text].is_string();
-            arrived.result = is_whole ? call_result::answered : call_result::failed;
-            arrived.text = is_whole ? arrived.body[text].get<std::string>() : "";
-            arrived.tokens = is_whole ? arrived.body.value(tokens, std::int64_t{0}) : 0;
+            arrived.result = is_well_formed ? call_result::answered : call_result::failed;
+            arrived.text = is_well_formed ? arrived.body[text].get<std::string>() : "";
+            arrived.tokens = is_well_formed ? arrived.body.value(tokens, std::int64_t{0}) : 0;
         }
     }
     core_.on_endpoint_answer(call.call_id, arrived, monotonic_now());
--- a/src/programs/laurel_load.cpp
+++ b/src/programs/laurel_load.cpp
@@ -85,7 +85,7 @@
                             const std::string& text);
     void on_incomplete_answer(const std::shared_ptr<load_operation>& operation, const http_answer& answer);
     void end_operation(const load_operation& operation);
-    std::string extract_text(const load_operation& operation, const http_answer& answer, bool& is_whole);
+    std::string extract_text(const load_operation& operation, const http_answer& answer, bool& is_complete);
     void verify_when_finished();
     void read_ledger();
     void read_standin();
@@ -266,28 +266,28 @@
 }
 
 std::string load_program::extract_text(const load_operation& operation, const http_answer& answer,
-                                       bool& is_whole) {
+                                       bool& is_complete) {
     if (operation.is_service) {
         const json body = json::parse(answer.body, nullptr, false);
-        is_whole = body.is_object() && body.contains("reference");
-        return is_whole ? body["reference"].get<std::string>() : "";
+        is_complete = body.is_object() && body.contains("reference");
+        return is_complete ? body["reference"].get<std::string>() : "";
     }
     if (!operation.is_stream) {
         const json body = json::parse(answer.body, nullptr, false);
         const json::json_pointer content("/choices/0/message/content");
-        is_whole = body.is_object() && body.contains(content);
-        return is_whole ? body[content].get<std::string>() : "";
+        is_complete = body.is_object() && body.contains(content);
+        return is_complete ? body[content].get<std::string>() : "";
     }
-    is_whole = answer.body.find("data: [DONE]") != std::string::npos;
+    is_complete = answer.body.find("data: [DONE]") != std::string::npos;
     report_.restarts += answer.body.find("laurelhoist.restart") != std::string::npos ? 1 : 0;
     return answer.body;
 }
 
 void load_program::on_answer(const std::shared_ptr<load_operation>& operation, const http_answer& answer) {
-    bool is_whole = false;
+    bool is_complete = false;
     const bool is_answer = answer.what == http_answer::result::answered && answer.status == 200;
-    const std::string text = is_answer ? extract_text(*operation, answer, is_whole) : "";
-    if (is_whole) {
+    const std::string text = is_answer ? extract_text(*operation, answer, is_complete) : "";
+    if (is_complete) {
         on_complete_answer(*operation, answer, text);
         end_operation(*operation);
     } else {
