--- a/src/programs/laurel_soak.cpp
+++ b/src/programs/laurel_soak.cpp
@@ -1,6 +1,6 @@
 /** \file
- * The program laurel-soak: long random runs with every invariant asserted, for as long as asked. Each run
- * has a seed; a broken invariant prints it and ends the program.
+ * The program laurel-soak: long randomized runs that check every invariant. Each run has its own seed; the
+ * first violated invariant is printed with its seed and ends the program.
  */
 #include "simulation/simulation.h"
 
@@ -8,14 +8,14 @@
 
 #include <iostream>
 
-DEFINE_uint64(seed, 1, "seed of the first run; the following runs count up");
-DEFINE_uint64(runs, 20, "how many runs");
-DEFINE_uint64(seconds, 120, "virtual seconds of disturbance in each run");
-DEFINE_uint64(wall_seconds, 0, "stop after this many real seconds; 0: when the runs are done");
-DEFINE_double(disturbances, 0.7, "mean number of disturbances a virtual second");
-DEFINE_string(site, "brazda", "sizes: brazda or consorzio");
-DEFINE_string(disable, "", "guards to switch off, separated by commas, to see whether a run notices");
-DEFINE_bool(verbose, false, "log what the nodes say");
+DEFINE_uint64(seed, 1, "seed of the first run; each following run uses the next number");
+DEFINE_uint64(runs, 20, "number of runs");
+DEFINE_uint64(seconds, 120, "virtual seconds of fault injection in each run");
+DEFINE_uint64(wall_seconds, 0, "stop after this many real seconds; 0: no limit");
+DEFINE_double(disturbances, 0.7, "mean number of faults and operator commands per virtual second");
+DEFINE_string(site, "brazda", "fleet sizes to simulate: brazda or consorzio");
+DEFINE_string(disable, "", "guards to switch off, separated by commas, to check that a run detects it");
+DEFINE_bool(verbose, false, "log the messages of the nodes");
 
 namespace laurelhoist {
 
@@ -24,7 +24,7 @@
 struct run_result {
     world_report report;
     std::uint64_t events = 0;
-    std::string broken; ///< empty: every invariant held
+    std::string violation; ///< empty: every invariant held
     double virtual_seconds = 0;
 };
 
@@ -54,7 +54,7 @@
         simulated.quiesce();
         simulated.check_final();
     } catch (const invariant_failure& failure) {
-        result.broken = failure.what();
+        result.violation = failure.what();
     }
     result.report = simulated.report();
     result.events = simulated.clock.events_run();
@@ -82,14 +82,14 @@
         refused += result.report.refused;
         failed += result.report.failed;
         virtual_seconds += result.virtual_seconds;
-        if (!result.broken.empty()) {
+        if (!result.violation.empty()) {
             std::cout << json{{"seed", seed},
-                              {"broken", result.broken},
+                              {"broken", result.violation},
                               {"after_events", events},
                               {"after_runs", done},
                               {"virtual_seconds", virtual_seconds}}
                              .dump()
-                      << "\nrepeat with: laurel-soak --runs=1 --seed=" << seed
+                      << "\nreproduce with: laurel-soak --runs=1 --seed=" << seed
                       << " --seconds=" << FLAGS_seconds << " --site=" << FLAGS_site
                       << (FLAGS_disable.empty() ? "" : " --disable=" + FLAGS_disable) << '\n';
             return 1;
@@ -99,8 +99,8 @@
         }
     }
     json checked = json::object();
-    for (const auto& [promise, count] : invariant_registry::instance().all()) {
-        checked[promise] = count.checked;
+    for (const auto& [invariant, count] : invariant_registry::instance().all()) {
+        checked[invariant] = count.checked;
     }
     std::cout << json{{"runs", done},     {"events", events},   {"virtual_seconds", virtual_seconds},
                       {"asked", asked},   {"whole", whole},     {"refused", refused},
@@ -117,7 +117,7 @@
 int main(int argc, char** argv) {
     laurelhoist::read_settings(
         &argc, &argv,
-        "laurel-soak: long random runs of the decisions under faults, with every invariant asserted.");
+        "laurel-soak: long randomized runs of the decision code under faults that check every invariant.");
     laurelhoist::start_log("laurel-soak", "");
     if (!FLAGS_verbose) {
         laurelhoist::quiet_log();
--- a/src/programs/laurel_standin.cpp
+++ b/src/programs/laurel_standin.cpp
@@ -1,6 +1,7 @@
 /** \file
- * The program laurel-standin: small stand-ins for everything that laurelhoist meets, in one process, with
- * faults switched on by HTTP. For tests and the demo only.
+ * The program laurel-standin: stand-ins for the systems that laurelhoist depends on, in one process: the
+ * platform, engines, the rating service and plain services. Faults are injected over HTTP. For tests and the
+ * demo only.
  */
 #include "programs/common.h"
 #include "standin/standin.h"
@@ -9,7 +10,8 @@
 
 #include <fstream>
 
-DEFINE_string(config, "examples/standin-brazda.json", "file that says which stand-ins run where");
+DEFINE_string(config, "examples/standin-brazda.json",
+              "JSON file that lists the stand-ins and their addresses");
 
 namespace laurelhoist {
 
@@ -19,7 +21,7 @@
     std::ifstream file(FLAGS_config);
     const json document = json::parse(file, nullptr, false);
     require_setting(document.is_object(), "config", FLAGS_config,
-                    "name a readable JSON file, as examples/standin-brazda.json");
+                    "give a readable JSON file such as examples/standin-brazda.json");
     return document.get<standin_plan>();
 }
 
@@ -42,7 +44,7 @@
     weight_store weights_;
     std::vector<std::unique_ptr<stand_in_engine>> engines_;
     std::vector<std::unique_ptr<plain_service>> services_;
-    done_calls done_;
+    done_calls call_counts_;
     json endpoints_ = json::array();
     std::unique_ptr<http_server> control_;
 };
@@ -78,7 +80,7 @@
                                            plan_.versions, pool.loaded};
             engines_.push_back(std::make_unique<stand_in_engine>(loop_, address, settings, weights_));
         } else {
-            services_.push_back(std::make_unique<plain_service>(loop_, address, name, done_));
+            services_.push_back(std::make_unique<plain_service>(loop_, address, name, call_counts_));
         }
     }
 }
@@ -127,12 +129,12 @@
         engines[engine->name()] = engine->statistics();
     }
     std::int64_t doubled = 0;
-    for (const auto& [reference, times] : done_) {
+    for (const auto& [reference, times] : call_counts_) {
         doubled += times > 1 && !reference.empty() ? 1 : 0;
     }
     return {{"platform", store_.statistics()},
             {"engines", engines},
-            {"calls_done", done_.size()},
+            {"calls_done", call_counts_.size()},
             {"calls_doubled", doubled}};
 }
 
@@ -161,7 +163,8 @@
 
 int main(int argc, char** argv) {
     laurelhoist::read_settings(
-        &argc, &argv, "laurel-standin: stands in for platform, engines, rating and services in tests.");
+        &argc, &argv,
+        "laurel-standin: simulates the platform, engines, rating service and plain services for tests.");
     laurelhoist::start_log("laurel-standin", "");
     laurelhoist::standin_program program;
     program.run();
--- a/src/programs/laurel_steward.cpp
+++ b/src/programs/laurel_steward.cpp
@@ -1,6 +1,6 @@
 /** \file
- * The program laurel-steward: links, the platform's object API and the operators' interface around the
- * steward's decisions.
+ * The program laurel-steward: connects steward_core to the network. It keeps links to entries and other
+ * stewards, calls the platform's object API and serves the operators' HTTP interface.
  */
 #include "node/node.h"
 #include "programs/common.h"
@@ -13,11 +13,11 @@
 DEFINE_string(domain, "", "the failure domain of this host");
 DEFINE_string(listen, "127.0.0.1:7000", "address for entries and other stewards");
 DEFINE_string(control, "127.0.0.1:7100", "address for operators' commands");
-DEFINE_string(peers, "", "addresses of other stewards to begin with, separated by commas");
+DEFINE_string(peers, "", "initial addresses of other stewards, separated by commas");
 DEFINE_string(platform, "127.0.0.1:6000", "address of the platform's object API");
-DEFINE_uint32(platform_timeout_ms, 2000, "how long a call of the platform may take");
+DEFINE_uint32(platform_timeout_ms, 2000, "timeout of a call to the platform in ms");
 DEFINE_uint32(endpoint_subset, 24, "endpoints of a pool that one entry uses");
-DEFINE_string(operator_key, "", "key that operators' commands carry");
+DEFINE_string(operator_key, "", "key that authenticates operators");
 DEFINE_string(fleet_key, "", "key shared by entries and stewards");
 DEFINE_string(charts, "charts", "directory of the state charts");
 
@@ -27,7 +27,7 @@
 
 constexpr duration tick_interval = milliseconds(100);
 constexpr duration connect_interval = seconds(1);
-constexpr duration watch_time = seconds(10);
+constexpr duration watch_wait = seconds(10); // how long the platform may hold a watch without a change
 
 class steward_program : public steward_port {
 public:
@@ -45,7 +45,7 @@
     struct connection {
         bool is_outgoing = false;
         std::string address;
-        hello_message hello; ///< of the other side; without incarnation until it has come
+        hello_message hello; ///< received from the other side; the incarnation is empty until then
     };
 
     static steward_settings read_steward_settings();
@@ -65,14 +65,14 @@
 
     steward_settings settings_;
     event_loop loop_;
-    metrics numbers_;
+    metrics metrics_;
     steward_core core_;
     http_client client_;
     link_server incoming_;
     link_client outgoing_;
     std::unique_ptr<http_server> control_;
     std::map<std::pair<bool, link_id>, connection> connections_;
-    std::map<std::string, std::shared_ptr<http_responder>> operators_;
+    std::map<std::string, std::shared_ptr<http_responder>> pending_commands_;
     std::uint64_t last_operation_ = 0;
 };
 
@@ -105,7 +105,7 @@
             load_chart_or_exit(FLAGS_charts, "bundle"),
             load_chart_or_exit(FLAGS_charts, "host"),
             *this,
-            numbers_,
+            metrics_,
             entropy_seed()},
       client_{loop_},
       incoming_{loop_, require_address("listen", FLAGS_listen), handlers(false)},
@@ -122,7 +122,7 @@
     log_info("started", {{"listen", FLAGS_listen}, {"control", FLAGS_control}, {"domain", FLAGS_domain}});
     loop_.every(tick_interval, [this] {
         core_.on_tick(monotonic_now());
-        numbers_.gauge("link_bytes_sent",
+        metrics_.gauge("link_bytes_sent",
                        static_cast<double>(incoming_.bytes_sent() + outgoing_.bytes_sent()));
         if (core_.is_stopped()) {
             loop_.stop();
@@ -194,19 +194,20 @@
         on_hello(is_outgoing, link, *hello);
         return;
     }
-    const hello_message& other = found->second.hello;
-    if (other.role == "entry") {
-        core_.on_entry_message(other.incarnation, message, monotonic_now());
-    } else if (other.role == "steward") {
-        core_.on_peer_message(other.incarnation, message, monotonic_now());
+    const hello_message& sender = found->second.hello;
+    if (sender.role == "entry") {
+        core_.on_entry_message(sender.incarnation, message, monotonic_now());
+    } else if (sender.role == "steward") {
+        core_.on_peer_message(sender.incarnation, message, monotonic_now());
     }
 }
 
 void steward_program::on_hello(bool is_outgoing, link_id link, const hello_message& hello) {
     if (!has_valid_proof(hello, FLAGS_fleet_key, wall_clock_ms())) {
-        log_warning("hello_refused",
-                    {{"from", hello.address},
-                     {"remedy", "give every host the same --fleet_key and a clock within a minute"}});
+        log_warning(
+            "hello_refused",
+            {{"from", hello.address},
+             {"remedy", "use the same --fleet_key on every host and keep the clocks within a minute"}});
         is_outgoing ? outgoing_.close(link) : incoming_.close(link);
         return;
     }
@@ -231,10 +232,10 @@
     }
     const hello_message hello = found->second.hello;
     connections_.erase(found);
-    const bool is_elsewhere = std::any_of(connections_.begin(), connections_.end(), [&](const auto& open) {
-        return open.second.hello.incarnation == hello.incarnation;
-    });
-    if (hello.incarnation.empty() || is_elsewhere) {
+    const bool has_other_connection =
+        std::any_of(connections_.begin(), connections_.end(),
+                    [&](const auto& open) { return open.second.hello.incarnation == hello.incarnation; });
+    if (hello.incarnation.empty() || has_other_connection) {
         return;
     }
     if (hello.role == "entry") {
@@ -271,12 +272,12 @@
     }
     if (request.what == platform_request::action::watch) {
         return "/watch/" + request.key + "?since=" + std::to_string(request.expected_version) +
-               "&wait_ms=" + std::to_string(std::chrono::duration_cast<milliseconds>(watch_time).count());
+               "&wait_ms=" + std::to_string(std::chrono::duration_cast<milliseconds>(watch_wait).count());
     }
     return "/objects/" + request.key;
 }
 
-platform_reply::result result_of(const http_answer& answer, bool is_write) {
+platform_reply::result to_platform_result(const http_answer& answer, bool is_write) {
     using result = platform_reply::result;
     if (answer.what == http_answer::result::not_sent) {
         return result::unavailable;
@@ -309,7 +310,7 @@
     call.target = platform_target(request);
     call.timeout = milliseconds(FLAGS_platform_timeout_ms);
     if (request.what == action::watch) {
-        call.timeout += watch_time;
+        call.timeout += watch_wait;
     }
     if (request.what == action::get && request.expected_version > 0) {
         call.headers["If-None-Match"] = std::to_string(request.expected_version);
@@ -325,7 +326,7 @@
     client_.send(call, [this, request, is_write](const http_answer& answer) {
         platform_reply reply;
         reply.operation = request.operation;
-        reply.what = result_of(answer, is_write);
+        reply.what = to_platform_result(answer, is_write);
         reply.object.key = request.key;
         reply.object.version = std::atoll(answer.header("etag").c_str());
         if (reply.what == platform_reply::result::ok && !is_write) {
@@ -369,7 +370,7 @@
     call.timeout = seconds(2);
     client_.send(call, [this, order](const http_answer& answer) {
         if (answer.status == 412) {
-            numbers_.count("engine_orders_fenced");
+            metrics_.count("engine_orders_fenced");
             log_warning("engine_order_fenced", {{"endpoint", order.endpoint}, {"fence", order.fence}});
         }
     });
@@ -380,12 +381,13 @@
 void steward_program::on_http(const http_request& request, const std::shared_ptr<http_responder>& responder) {
     const std::optional<time_point> as_of = core_.confirmed_as_of(monotonic_now());
     const bool is_ready = as_of && monotonic_now() - *as_of < freshness_limit && core_.is_listed();
-    if (answer_health(request, responder, numbers_, is_ready)) {
+    if (serve_health_pages(request, responder, metrics_, is_ready)) {
         return;
     }
     if (!equal_in_constant_time(request.header("authorization"), "Bearer " + FLAGS_operator_key)) {
-        answer_error(responder, {error_kind::unauthorized,
-                                 "operators' calls carry the operator key; set --operator_key"});
+        reply_with_error(responder,
+                         {error_kind::unauthorized,
+                          "the Authorization header must carry the operator key; set --operator_key"});
     } else if (request.method == "POST" && request.path == "/control/command") {
         on_command(request, responder);
     } else if (request.method == "GET" && request.path == "/control/status") {
@@ -393,7 +395,7 @@
     } else if (request.method == "GET" && request.path == "/control/objects") {
         on_objects(request, responder);
     } else {
-        answer_error(responder, {error_kind::not_found, "no such page; see docs/INTERFACES.md"});
+        reply_with_error(responder, {error_kind::not_found, "no such path; see docs/INTERFACES.md"});
     }
 }
 
@@ -401,7 +403,7 @@
                                  const std::shared_ptr<http_responder>& responder) {
     const outcome<json> parsed = parse_json_object(request.body);
     if (const error* failure = error_of(parsed)) {
-        answer_error(responder, *failure);
+        reply_with_error(responder, *failure);
         return;
     }
     const json& body = *value_of(parsed);
@@ -410,14 +412,14 @@
     try {
         command = body.at("command").get<fleet_command>();
     } catch (const json::exception& failure) {
-        answer_error(responder,
-                     {error_kind::invalid_request, std::string("not a command: ") + failure.what()});
+        reply_with_error(responder,
+                         {error_kind::invalid_request, std::string("not a command: ") + failure.what()});
         return;
     }
     if (command.kind == command_kind::submit) {
         const outcome<bundle> checked = parse_bundle(body.value("document", json()));
         if (const error* failure = error_of(checked)) {
-            answer_error(responder, *failure);
+            reply_with_error(responder, *failure);
             return;
         }
         document = *value_of(checked);
@@ -425,19 +427,19 @@
         command.sha256 = content_hash(*document);
     }
     const std::string operation = "http-" + std::to_string(++last_operation_);
-    operators_[operation] = responder;
+    pending_commands_[operation] = responder;
     core_.on_command(operation, command, document, monotonic_now());
 }
 
 void steward_program::answer_operator(const command_reply& reply) {
-    const auto found = operators_.find(reply.operation);
-    if (found == operators_.end()) {
+    const auto found = pending_commands_.find(reply.operation);
+    if (found == pending_commands_.end()) {
         return;
     }
     const std::shared_ptr<http_responder> responder = found->second;
-    operators_.erase(found);
+    pending_commands_.erase(found);
     if (reply.failure) {
-        answer_error(responder, *reply.failure);
+        reply_with_error(responder, *reply.failure);
         return;
     }
     responder->reply(200, {},
@@ -478,13 +480,13 @@
     responder->reply(200, {}, body.dump());
 }
 
-// Lets operators' tools read the ledger and the counts through any steward.
+// Serves the ledger and the request counts, read from the platform, to operators' tools.
 void steward_program::on_objects(const http_request& request,
                                  const std::shared_ptr<http_responder>& responder) {
     const std::string prefix = request.parameter("prefix");
-    const bool is_open_to_tools = prefix.rfind("ledger/", 0) == 0 || prefix.rfind("counts/", 0) == 0;
-    if (!is_open_to_tools) {
-        answer_error(responder, {error_kind::forbidden, "only ledger/ and counts/ can be read here"});
+    const bool is_readable_prefix = prefix.rfind("ledger/", 0) == 0 || prefix.rfind("counts/", 0) == 0;
+    if (!is_readable_prefix) {
+        reply_with_error(responder, {error_kind::forbidden, "only ledger/ and counts/ can be read here"});
         return;
     }
     http_call call;
@@ -495,8 +497,9 @@
         if (answer.status == 200) {
             responder->reply(200, {}, answer.body);
         } else {
-            answer_error(responder, {error_kind::platform_unavailable,
-                                     "the platform does not answer; come back", ran_state::no, 1000});
+            reply_with_error(responder,
+                             {error_kind::platform_unavailable,
+                              "the platform does not answer; try again later", ran_state::no, 1000});
         }
     });
 }
@@ -507,7 +510,7 @@
 
 int main(int argc, char** argv) {
     laurelhoist::read_settings(&argc, &argv,
-                               "laurel-steward: keeps configuration, bills and roll-outs for the entries.");
+                               "laurel-steward: manages configuration, bills and roll-outs for the entries.");
     laurelhoist::start_log("laurel-steward", FLAGS_name);
     laurelhoist::steward_program program;
     program.run();
