--- a/src/programs/laurel_entry.cpp
+++ b/src/programs/laurel_entry.cpp
@@ -389,9 +389,9 @@
         responder->write(to_event("", delta));
         return;
     case stream_part::kind::restart:
-        responder->write(to_event("laurelhoist.restart",
-                                  {{"reason", "the answer restarts; discard the text received so far"},
-                                   {"model", part.summary.version}}));
+        responder->write(
+            to_event("laurelhoist.restart", {{"reason", "the answer begins anew; drop what came before"},
+                                             {"model", part.summary.version}}));
         return;
     case stream_part::kind::end:
         responder->write(to_event("laurelhoist.end", part.summary.body["laurelhoist"]));
