--- a/src/programs/laurel_bench.cpp
+++ b/src/programs/laurel_bench.cpp
@@ -87,7 +87,7 @@
         simulated.quiesce();
         simulated.check_final();
         const world_report& report = simulated.report();
-        good += report.rated_enough;
+        good += report.good_model_answers;
         answers += report.model_answers;
         constexpr double micro = 1e6;
         cost += static_cast<double>(report.cost_micro) / micro;
@@ -409,7 +409,7 @@
     simulated.start();
     simulated.set_load(options.requests_per_second);
     simulated.run_for(seconds(5));
-    simulated.measures_bytes = true;
+    simulated.counts_control_bytes = true;
     const std::int64_t bytes = simulated.control_bytes();
     const std::int64_t messages = simulated.control_messages();
     const std::uint64_t reads = simulated.platform->reads;
--- a/src/programs/laurel_load.cpp
+++ b/src/programs/laurel_load.cpp
@@ -305,7 +305,7 @@
     report_.foreign += text.find("answer to " + request) == std::string::npos ? 1 : 0;
     ++report_.model_answers;
     report_.tokens += FLAGS_tokens;
-    const bool is_good = score_in(text) >= good_score;
+    const bool is_good = parse_score(text) >= good_score;
     report_.good += is_good ? 1 : 0;
     if (!FLAGS_bad_version.empty() && text.find(" by " + FLAGS_bad_version + " ") != std::string::npos) {
         ++report_.bad_released;
--- a/src/programs/laurel_soak.cpp
+++ b/src/programs/laurel_soak.cpp
@@ -49,7 +49,7 @@
             constexpr double ms_per_second = 1000;
             simulated.run_for(
                 milliseconds(1 + static_cast<int>(random.exponential(ms_per_second / FLAGS_disturbances))));
-            simulated.disturb();
+            simulated.inject_disturbance();
         }
         simulated.quiesce();
         simulated.check_final();
--- a/src/programs/laurel_standin.cpp
+++ b/src/programs/laurel_standin.cpp
@@ -42,7 +42,7 @@
     weight_store weights_;
     std::vector<std::unique_ptr<stand_in_engine>> engines_;
     std::vector<std::unique_ptr<plain_service>> services_;
-    done_calls done_;
+    calls_by_reference done_;
     json endpoints_ = json::array();
     std::unique_ptr<http_server> control_;
 };
--- a/src/simulation/fake_endpoint.cpp
+++ b/src/simulation/fake_endpoint.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-constexpr std::size_t cached_prefixes = 40;
-constexpr double cached_prefix_gain = 0.35;
-constexpr std::size_t longest_queue = 200;
+constexpr std::size_t max_cached_prefixes = 40;
+constexpr double cached_prefix_time_factor = 0.35;
+constexpr std::size_t max_queue_length = 200;
 constexpr double service_ms = 20;
-constexpr std::size_t kept_samples = 200;
+constexpr std::size_t max_load_samples = 200;
 
 duration from_ms(double ms) {
     return std::chrono::duration_cast<duration>(std::chrono::duration<double, std::milli>(ms));
@@ -50,7 +50,7 @@
         to.on_answer(missing);
         return;
     }
-    if (queue_.size() >= longest_queue) {
+    if (queue_.size() >= max_queue_length) {
         to.on_answer(refusal(call_result::refused_not_run));
         return;
     }
@@ -60,7 +60,7 @@
     work->next_part = call.resume_from;
     jobs_[call.call_id] = work;
     queue_.push_back(work);
-    note_load();
+    record_load_sample();
     begin_next();
 }
 
@@ -73,7 +73,7 @@
 
 void fake_endpoint::order(const engine_order& order) {
     if (checks_fence && order.fence < highest_fence_) {
-        ++fenced;
+        ++fenced_orders;
         return;
     }
     highest_fence_ = std::max(highest_fence_, order.fence);
@@ -94,7 +94,7 @@
         }
         ++running_;
         ++begun;
-        note_load();
+        record_load_sample();
         if (observer.on_begin) {
             observer.on_begin(work->call, record);
         }
@@ -113,11 +113,11 @@
     if (!prefix.empty()) {
         prefixes_.push_front(prefix);
     }
-    if (prefixes_.size() > cached_prefixes) {
+    if (prefixes_.size() > max_cached_prefixes) {
         prefixes_.pop_back();
     }
     const double full = behaviours[work->call.version].first_token_ms;
-    return slow_factor * (is_hit ? full * cached_prefix_gain : full);
+    return slow_factor * (is_hit ? full * cached_prefix_time_factor : full);
 }
 
 // All that runs or waits here breaks off with the process.
@@ -127,7 +127,7 @@
     queue_.clear();
     std::map<std::string, shared_job> lost;
     lost.swap(jobs_);
-    note_load();
+    record_load_sample();
     for (const auto& [call_id, work] : lost) {
         if (!work->is_cancelled) {
             work->is_cancelled = true;
@@ -137,7 +137,7 @@
 }
 
 void fake_endpoint::run(const shared_job& work) {
-    if (!deadly_marker.empty() && work->call.body.value("marker", "") == deadly_marker) {
+    if (!crash_marker.empty() && work->call.body.value("marker", "") == crash_marker) {
         constexpr double end_ms = 30;
         clock_.after(from_ms(end_ms), [this] {
             if (!is_dead) {
@@ -173,7 +173,7 @@
     const std::string marker = work->call.body.value("marker", "");
     const std::string text = marker + "/" + std::to_string(work->next_part) + " ";
     work->to.on_part(work->next_part, text);
-    if (random_.chance(doubled_parts)) {
+    if (random_.chance(duplicate_part_share)) {
         work->to.on_part(work->next_part, text);
     }
     ++work->next_part;
@@ -210,18 +210,18 @@
         return; // It ended with the process.
     }
     --running_;
-    note_load();
+    record_load_sample();
     if (with_answer && !work->is_cancelled && !is_silent && !is_dead) {
-        work->to.on_answer(random_.chance(cut_share) ? refusal(call_result::failed) : answer_of(work));
+        work->to.on_answer(random_.chance(cut_answer_share) ? refusal(call_result::failed) : answer_of(work));
     } else if (is_dead && !work->is_cancelled) {
         work->to.on_answer(refusal(call_result::failed));
     }
     begin_next();
 }
 
-void fake_endpoint::note_load() {
+void fake_endpoint::record_load_sample() {
     samples_.push_back({clock_.now(), running_, static_cast<int>(queue_.size())});
-    if (samples_.size() > kept_samples) {
+    if (samples_.size() > max_load_samples) {
         samples_.pop_front();
     }
 }
--- a/src/simulation/fake_endpoint.h
+++ b/src/simulation/fake_endpoint.h
@@ -43,22 +43,22 @@
     std::set<version_name> loaded;
     endpoint_observer observer;
     bool checks_fence = true;
-    bool is_dead = false;      ///< refuses connections
-    std::string deadly_marker; ///< of requests that end this endpoint when it begins to run them; empty: none
-    bool is_silent = false;    ///< takes calls and gives no answer
-    bool is_leaving = false;   ///< refuses new work, saying so
-    endpoint_statement says;   ///< with each answer; of one that asks for rest, each is a refusal
+    bool is_dead = false;     ///< refuses connections
+    std::string crash_marker; ///< of requests that end this endpoint when it begins to run them; empty: none
+    bool is_silent = false;   ///< takes calls and gives no answer
+    bool is_leaving = false;  ///< refuses new work, saying so
+    endpoint_statement says;  ///< with each answer; of one that asks for rest, each is a refusal
     std::vector<time_point> arrivals; ///< of calls
     bool names_wrong_version = false;
     bool mixes_answers = false; ///< gives some calls the answer of another
     double slow_factor = 1.0;
-    double doubled_parts = 0.0; ///< share of a stream's parts that come twice
-    double cut_share = 0.0;     ///< of the answers whose connection breaks after the work is done
+    double duplicate_part_share = 0.0; ///< share of a stream's parts that come twice
+    double cut_answer_share = 0.0;     ///< of the answers whose connection breaks after the work is done
     duration report_lag = milliseconds(0);
     duration load_time = seconds(2);
     std::uint64_t prefix_hits = 0;
     std::uint64_t begun = 0;
-    std::uint64_t fenced = 0;
+    std::uint64_t fenced_orders = 0;
 
 private:
     struct job {
@@ -77,7 +77,7 @@
     double first_token_ms(const shared_job& work);
     endpoint_answer answer_of(const shared_job& work);
     load_report report() const;
-    void note_load();
+    void record_load_sample();
     static endpoint_answer refusal(call_result result);
 
     struct load_sample {
--- a/src/simulation/fake_platform.cpp
+++ b/src/simulation/fake_platform.cpp
@@ -4,8 +4,8 @@
 
 namespace {
 
-constexpr duration answer_time_limit = seconds(2);
-constexpr duration watch_time = seconds(10);
+constexpr duration unknown_answer_delay = seconds(2);
+constexpr duration watch_timeout = seconds(10);
 
 bool is_write(const platform_request& request) {
     return request.what == platform_request::action::create ||
@@ -56,12 +56,12 @@
         constexpr double mean_lateness_ms = 4000;
         clock_.after(milliseconds(static_cast<int>(random_.exponential(mean_lateness_ms))),
                      [this, request] { apply(request); });
-        clock_.after(answer_time_limit, [on_answer, unknown] { on_answer(unknown); });
+        clock_.after(unknown_answer_delay, [on_answer, unknown] { on_answer(unknown); });
         return;
     }
     const platform_reply reply = apply(request);
     if (random_.chance(faults.lost_answers)) {
-        clock_.after(answer_time_limit, [on_answer, unknown] { on_answer(unknown); });
+        clock_.after(unknown_answer_delay, [on_answer, unknown] { on_answer(unknown); });
         return;
     }
     clock_.after(faults.delay, [on_answer, reply] { on_answer(reply); });
@@ -85,7 +85,7 @@
         const bool is_watch = request.what == platform_request::action::watch;
         if (is_watch && (found == nullptr || found->version <= request.expected_version)) {
             reply.what = platform_reply::result::not_found;
-            clock_.after(watch_time, [on_answer, reply] { on_answer(reply); });
+            clock_.after(watch_timeout, [on_answer, reply] { on_answer(reply); });
             return;
         }
         const bool is_unchanged = found != nullptr && request.what == platform_request::action::get &&
--- a/src/simulation/nodes.cpp
+++ b/src/simulation/nodes.cpp
@@ -6,15 +6,15 @@
 
 namespace {
 
-constexpr duration entry_tick = milliseconds(50);
-constexpr duration steward_tick = milliseconds(100);
-constexpr duration silence_check = milliseconds(100);
-constexpr duration local_delay = std::chrono::microseconds(500);
+constexpr duration entry_tick_interval = milliseconds(50);
+constexpr duration steward_tick_interval = milliseconds(100);
+constexpr duration call_timeout_check_interval = milliseconds(100);
+constexpr duration reply_delay = std::chrono::microseconds(500);
 const std::string platform_name = "platform";
 
 } // namespace
 
-const chart& chart_named(const std::string& name) {
+const chart& cached_chart(const std::string& name) {
     static std::map<std::string, chart> loaded;
     const auto found = loaded.find(name);
     if (found != loaded.end()) {
@@ -28,22 +28,22 @@
 
 // ---- what nodes have in common ----
 
-void node_host::begin_life() {
-    ++life_;
+void simulated_node::begin_incarnation() {
+    ++incarnation_number_;
     is_up_ = true;
-    incarnation_ = name_ + "#" + std::to_string(life_);
+    incarnation_ = name_ + "#" + std::to_string(incarnation_number_);
     paused_until_ = world_.clock.now();
 }
 
-void node_host::run_here(std::function<void()> work) {
+void simulated_node::run_in_incarnation(std::function<void()> work) {
     if (!is_up_) {
         return;
     }
     if (is_paused()) {
-        const int life = life_;
-        world_.clock.at(paused_until_, [this, life, work = std::move(work)]() mutable {
-            if (life == life_) {
-                run_here(std::move(work));
+        const int number = incarnation_number_;
+        world_.clock.at(paused_until_, [this, number, work = std::move(work)]() mutable {
+            if (number == incarnation_number_) {
+                run_in_incarnation(std::move(work));
             }
         });
         return;
@@ -54,35 +54,35 @@
 // ---- entries ----
 
 entry_node::entry_node(world& owner, std::size_t index, const std::string& domain, duration skew)
-    : node_host{owner, "entry-" + std::to_string(index), domain, skew}, index_{index} {}
+    : simulated_node{owner, "entry-" + std::to_string(index), domain, skew}, index_{index} {}
 
 void entry_node::start() {
-    begin_life();
+    begin_incarnation();
     links.clear();
     link_cut_since.clear();
     calls_.clear();
     entry_settings settings{
         name_, incarnation_, name_, domain_, "session-key-of-the-world", milliseconds(1500)};
-    const entry_charts charts{chart_named("request"), chart_named("endpoint"), chart_named("host")};
+    const entry_charts charts{cached_chart("request"), cached_chart("endpoint"), cached_chart("host")};
     const std::uint64_t seed = placement_hash(incarnation_, world_.options_.seed);
-    core = std::make_unique<entry_core>(settings, charts, *this, numbers, seed, world_.options_.policies,
+    core = std::make_unique<entry_core>(settings, charts, *this, node_metrics, seed, world_.options_.policies,
                                         world_.options_.disabled);
-    const int life = life_;
-    world_.clock.after(entry_tick, [this, life] {
-        if (life == life_ && is_up_) {
+    const int number = incarnation_number_;
+    world_.clock.after(entry_tick_interval, [this, number] {
+        if (number == incarnation_number_ && is_up_) {
             tick();
         }
     });
 }
 
 void entry_node::tick() {
-    const int life = life_;
-    run_here([this] {
+    const int number = incarnation_number_;
+    run_in_incarnation([this] {
         core->on_tick(local_now());
-        numbers.gauge("open", static_cast<double>(core->open_requests()));
+        node_metrics.gauge("open", static_cast<double>(core->open_requests()));
     });
-    world_.clock.after(entry_tick, [this, life] {
-        if (life == life_ && is_up_) {
+    world_.clock.after(entry_tick_interval, [this, number] {
+        if (number == incarnation_number_ && is_up_) {
             tick();
         }
     });
@@ -92,7 +92,7 @@
     if (!is_up_) {
         return;
     }
-    end_life();
+    end_incarnation();
     core.reset();
     world_.on_entry_lost(incarnation_);
 }
@@ -106,7 +106,7 @@
         }
     }
     calls_[call.call_id] = {target, world_.clock.now(), call.timeout, call.stream};
-    watch_silence(call.call_id);
+    check_call_timeout(call.call_id);
     if (target == world_.endpoints.size() || !world_.can_reach(name_, call.endpoint.name)) {
         // A new connection to a host that cannot be reached is refused by the client's own time limit.
         endpoint_answer not_sent;
@@ -122,8 +122,9 @@
                 !world_.can_reach(name_, world_.endpoints[open->second.endpoint]->record.name)) {
                 return;
             }
-            open->second.last_sign = world_.clock.now();
-            run_here([this, id, index, text] { core->on_endpoint_part(id, index, text, local_now()); });
+            open->second.last_activity = world_.clock.now();
+            run_in_incarnation(
+                [this, id, index, text] { core->on_endpoint_part(id, index, text, local_now()); });
         });
     };
     handlers.on_answer = [this, id = call.call_id](const endpoint_answer& answer) {
@@ -142,25 +143,26 @@
         return;
     }
     calls_.erase(open);
-    run_here([this, call_id, answer] { core->on_endpoint_answer(call_id, answer, local_now()); });
+    run_in_incarnation([this, call_id, answer] { core->on_endpoint_answer(call_id, answer, local_now()); });
 }
 
-void entry_node::watch_silence(const std::string& call_id) {
-    const int life = life_;
-    world_.clock.after(silence_check, [this, call_id, life] {
+void entry_node::check_call_timeout(const std::string& call_id) {
+    const int number = incarnation_number_;
+    world_.clock.after(call_timeout_check_interval, [this, call_id, number] {
         const auto open = calls_.find(call_id);
-        if (life != life_ || !is_up_ || open == calls_.end()) {
+        if (number != incarnation_number_ || !is_up_ || open == calls_.end()) {
             return;
         }
-        if (world_.clock.now() - open->second.last_sign < open->second.timeout) {
-            watch_silence(call_id);
+        if (world_.clock.now() - open->second.last_activity < open->second.timeout) {
+            check_call_timeout(call_id);
             return;
         }
         calls_.erase(open);
         endpoint_answer silent;
         silent.result = call_result::failed;
         silent.is_silent = true;
-        run_here([this, call_id, silent] { core->on_endpoint_answer(call_id, silent, local_now()); });
+        run_in_incarnation(
+            [this, call_id, silent] { core->on_endpoint_answer(call_id, silent, local_now()); });
     });
 }
 
@@ -182,10 +184,10 @@
         score = std::atof(request.answer.c_str() + at + std::string("score=").size());
     }
     const duration delay = world_.rater_is_down ? duration(seconds(2)) : world_.rater_delay;
-    const int life = life_;
-    world_.clock.after(delay, [this, id = request.call_id, score, life] {
-        if (life == life_) {
-            run_here([this, id, score] { core->on_rating(id, score, local_now()); });
+    const int number = incarnation_number_;
+    world_.clock.after(delay, [this, id = request.call_id, score, number] {
+        if (number == incarnation_number_) {
+            run_in_incarnation([this, id, score] { core->on_rating(id, score, local_now()); });
         }
     });
 }
@@ -199,7 +201,7 @@
     world_.send(name_, steward.name(), message,
                 [&steward, incarnation, from = incarnation_](const node_message& arrived) {
                     if (steward.incarnation() == incarnation) {
-                        steward.run_here([&steward, from, arrived] {
+                        steward.run_in_incarnation([&steward, from, arrived] {
                             steward.core->on_entry_message(from, arrived, steward.local_now());
                         });
                     }
@@ -207,18 +209,18 @@
 }
 
 void entry_node::reply(const caller_reply& reply) {
-    const int life = life_;
-    world_.clock.after(local_delay, [this, reply, life] {
-        if (life == life_ && is_up_) {
+    const int number = incarnation_number_;
+    world_.clock.after(reply_delay, [this, reply, number] {
+        if (number == incarnation_number_ && is_up_) {
             world_.on_reply(reply);
         }
     });
 }
 
 void entry_node::stream(const stream_part& part) {
-    const int life = life_;
-    world_.clock.after(local_delay, [this, part, life] {
-        if (life == life_ && is_up_) {
+    const int number = incarnation_number_;
+    world_.clock.after(reply_delay, [this, part, number] {
+        if (number == incarnation_number_ && is_up_) {
             world_.on_stream(part);
         }
     });
@@ -227,24 +229,24 @@
 // ---- stewards ----
 
 steward_node::steward_node(world& owner, std::size_t index, const std::string& domain, duration skew)
-    : node_host{owner, "steward-" + std::to_string(index), domain, skew} {}
+    : simulated_node{owner, "steward-" + std::to_string(index), domain, skew} {}
 
 void steward_node::start() {
-    begin_life();
+    begin_incarnation();
     peers.clear();
     entries.clear();
     const steward_settings settings{name_, incarnation_, name_, domain_, 24};
-    core = std::make_unique<steward_core>(settings, chart_named("bundle"), chart_named("host"), *this,
-                                          numbers, placement_hash(incarnation_, world_.options_.seed),
+    core = std::make_unique<steward_core>(settings, cached_chart("bundle"), cached_chart("host"), *this,
+                                          node_metrics, placement_hash(incarnation_, world_.options_.seed),
                                           world_.options_.disabled);
     tick();
 }
 
 void steward_node::tick() {
-    const int life = life_;
-    run_here([this] { core->on_tick(local_now()); });
-    world_.clock.after(steward_tick, [this, life] {
-        if (life == life_ && is_up_) {
+    const int number = incarnation_number_;
+    run_in_incarnation([this] { core->on_tick(local_now()); });
+    world_.clock.after(steward_tick_interval, [this, number] {
+        if (number == incarnation_number_ && is_up_) {
             tick();
         }
     });
@@ -254,26 +256,26 @@
     if (!is_up_) {
         return;
     }
-    end_life();
+    end_incarnation();
     core.reset();
 }
 
 void steward_node::call_platform(const platform_request& request) {
-    const int life = life_;
+    const int number = incarnation_number_;
     if (!world_.can_reach(name_, platform_name)) {
         platform_reply dark;
         dark.operation = request.operation;
         dark.what = platform_reply::result::unavailable;
-        world_.clock.after(seconds(1), [this, dark, life] {
-            if (life == life_) {
-                run_here([this, dark] { core->on_platform_reply(dark, local_now()); });
+        world_.clock.after(seconds(1), [this, dark, number] {
+            if (number == incarnation_number_) {
+                run_in_incarnation([this, dark] { core->on_platform_reply(dark, local_now()); });
             }
         });
         return;
     }
-    world_.platform->call(request, [this, life](const platform_reply& reply) {
-        if (life == life_) {
-            run_here([this, reply] { core->on_platform_reply(reply, local_now()); });
+    world_.platform->call(request, [this, number](const platform_reply& reply) {
+        if (number == incarnation_number_) {
+            run_in_incarnation([this, reply] { core->on_platform_reply(reply, local_now()); });
         }
     });
 }
@@ -287,7 +289,7 @@
     world_.send(name_, entry.name(), message,
                 [&entry, incarnation, from = incarnation_](const node_message& arrived) {
                     if (entry.incarnation() == incarnation) {
-                        entry.run_here([&entry, from, arrived] {
+                        entry.run_in_incarnation([&entry, from, arrived] {
                             entry.core->on_steward_message(from, arrived, entry.local_now());
                         });
                     }
@@ -303,7 +305,7 @@
     world_.send(name_, peer.name(), message,
                 [&peer, incarnation, from = incarnation_](const node_message& arrived) {
                     if (peer.incarnation() == incarnation) {
-                        peer.run_here([&peer, from, arrived] {
+                        peer.run_in_incarnation([&peer, from, arrived] {
                             peer.core->on_peer_message(from, arrived, peer.local_now());
                         });
                     }
@@ -311,16 +313,16 @@
 }
 
 void steward_node::ask_engine(const endpoint_record& endpoint) {
-    const int life = life_;
+    const int number = incarnation_number_;
     for (const auto& candidate : world_.endpoints) {
         if (candidate->record.name != endpoint.name) {
             continue;
         }
-        world_.clock.after(world_.options_.domain_latency, [this, life, engine = candidate.get()] {
+        world_.clock.after(world_.options_.domain_latency, [this, number, engine = candidate.get()] {
             const std::vector<version_name> loaded(engine->loaded.begin(), engine->loaded.end());
             const bool is_reachable = !engine->is_dead && !engine->is_silent;
-            if (life == life_) {
-                run_here([this, name = engine->record.name, is_reachable, loaded] {
+            if (number == incarnation_number_) {
+                run_in_incarnation([this, name = engine->record.name, is_reachable, loaded] {
                     core->on_engine_status(name, is_reachable, loaded, local_now());
                 });
             }
--- a/src/simulation/nodes.h
+++ b/src/simulation/nodes.h
@@ -9,9 +9,9 @@
 namespace laurelhoist {
 
 /** What nodes have in common. */
-class node_host {
+class simulated_node {
 public:
-    node_host(world& owner, std::string name, std::string domain, duration skew)
+    simulated_node(world& owner, std::string name, std::string domain, duration skew)
         : world_{owner}, name_{std::move(name)}, domain_{std::move(domain)}, skew_{skew} {}
 
     const std::string& name() const { return name_; }
@@ -24,23 +24,23 @@
     void resume() { paused_until_ = world_.clock.now(); }
 
     /** Runs \p work as an event of this incarnation: when the pause is over, never after a crash. */
-    void run_here(std::function<void()> work);
+    void run_in_incarnation(std::function<void()> work);
 
 protected:
-    void begin_life();
-    void end_life() { is_up_ = false; }
+    void begin_incarnation();
+    void end_incarnation() { is_up_ = false; }
 
     world& world_;
     std::string name_;
     std::string domain_;
     duration skew_;
     std::string incarnation_;
-    int life_ = 0;
+    int incarnation_number_ = 0;
     bool is_up_ = false;
     time_point paused_until_;
 };
 
-class entry_node : public node_host, public entry_port {
+class entry_node : public simulated_node, public entry_port {
 public:
     entry_node(world& owner, std::size_t index, const std::string& domain, duration skew);
 
@@ -56,25 +56,25 @@
     void stream(const stream_part& part) override;
 
     std::unique_ptr<entry_core> core;
-    metrics numbers;
+    metrics node_metrics;
     std::map<std::string, std::size_t> links; ///< steward incarnation -> index
     std::map<std::string, time_point> link_cut_since;
 
 private:
     struct open_call {
         std::size_t endpoint = 0;
-        time_point last_sign;
+        time_point last_activity;
         duration timeout{};
         bool is_stream = false;
     };
-    void watch_silence(const std::string& call_id);
+    void check_call_timeout(const std::string& call_id);
     void deliver_answer(const std::string& call_id, const endpoint_answer& answer);
 
     std::size_t index_;
     std::map<std::string, open_call> calls_;
 };
 
-class steward_node : public node_host, public steward_port {
+class steward_node : public simulated_node, public steward_port {
 public:
     steward_node(world& owner, std::size_t index, const std::string& domain, duration skew);
 
@@ -90,12 +90,12 @@
     void answer_operator(const command_reply& reply) override;
 
     std::unique_ptr<steward_core> core;
-    metrics numbers;
+    metrics node_metrics;
     std::map<std::string, std::size_t> peers; ///< incarnation -> index
     std::map<std::string, std::size_t> entries;
 };
 
 /** \return the charts of the source tree or of LAUREL_CHARTS; ends the process if they are bad. */
-const chart& chart_named(const std::string& name);
+const chart& cached_chart(const std::string& name);
 
 } // namespace laurelhoist
--- a/src/simulation/replay.h
+++ b/src/simulation/replay.h
@@ -12,7 +12,7 @@
     double p95_ms = 0;
     double quality_share = 0;
     std::string established;
-    std::vector<std::string> misses; ///< outcomes that were not reached; empty: all were
+    std::vector<std::string> unmet_outcomes; ///< outcomes that were not reached; empty: all were
 };
 
 /** Plays \p recorded in a world of its site's sizes and compares what comes out with what must.
--- a/src/simulation/world.cpp
+++ b/src/simulation/world.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-constexpr duration link_check = milliseconds(250);
-constexpr duration watch_check = milliseconds(50);
-constexpr duration silence_limit = seconds(3);
-constexpr duration longest_skew = seconds(500);
-constexpr std::size_t links_wanted = 3;
+constexpr duration link_check_interval = milliseconds(250);
+constexpr duration in_force_check_interval = milliseconds(50);
+constexpr duration link_timeout = seconds(3);
+constexpr duration max_clock_skew = seconds(500);
+constexpr std::size_t links_per_entry = 3;
 const std::string platform_name = "platform";
 
 } // namespace
@@ -35,7 +35,9 @@
       options_{std::move(options)},
       random_{options_.seed} {
     build_endpoints();
-    const auto skew = [this] { return std::chrono::duration_cast<duration>(longest_skew * random_.unit()); };
+    const auto skew = [this] {
+        return std::chrono::duration_cast<duration>(max_clock_skew * random_.unit());
+    };
     for (std::size_t i = 0; i < options_.stewards; ++i) {
         stewards_.push_back(
             std::make_unique<steward_node>(*this, i, options_.domains[i % options_.domains.size()], skew()));
@@ -68,7 +70,7 @@
             endpoint.report_lag = options_.report_lag;
             endpoint.checks_fence = options_.engines_check_fence;
             endpoint.observer.on_begin = [this](const endpoint_call& call, const endpoint_record&) {
-                note_run(call);
+                record_run(call);
             };
             endpoint.loaded = {"cheap@1", "costly@1"};
             endpoint.behaviours = {{"cheap@1", options_.cheap}, {"costly@1", options_.costly}};
@@ -155,18 +157,18 @@
     for (const auto& node : entries_) {
         node->start();
     }
-    keep_links();
-    repeat(link_check, [this] { keep_links(); });
-    repeat(watch_check, [this] { watch_in_force(); });
+    update_links();
+    repeat(link_check_interval, [this] { update_links(); });
+    repeat(in_force_check_interval, [this] { update_changes_in_force(); });
     repeat(seconds(1), [this] { publish_hosts(); });
     run_for(seconds(4));
     const bundle first = make_bundle(1, 1);
     for (const command_kind kind : {command_kind::submit, command_kind::sign_off, command_kind::roll}) {
-        fleet_command wish;
-        wish.kind = kind;
-        wish.bundle_id = first.id;
-        wish.sha256 = content_hash(first);
-        command(wish, kind == command_kind::submit ? std::optional(first) : std::nullopt);
+        fleet_command new_command;
+        new_command.kind = kind;
+        new_command.bundle_id = first.id;
+        new_command.sha256 = content_hash(first);
+        command(new_command, kind == command_kind::submit ? std::optional(first) : std::nullopt);
         run_for(seconds(1));
     }
     run_for(seconds(2));
@@ -189,8 +191,8 @@
     return entries_[index]->local_now();
 }
 
-const metrics& world::entry_numbers(std::size_t index) const {
-    return entries_[index]->numbers;
+const metrics& world::entry_metrics(std::size_t index) const {
+    return entries_[index]->node_metrics;
 }
 
 // ---- the network ----
@@ -209,7 +211,7 @@
 void world::send(const std::string& from, const std::string& to, const node_message& message,
                  std::function<void(const node_message&)> deliver) {
     ++control_messages_;
-    if (measures_bytes) {
+    if (counts_control_bytes) {
         control_bytes_ += static_cast<std::int64_t>(encode(message).size());
     }
     if (!can_reach(from, to)) {
@@ -228,15 +230,15 @@
         delay += milliseconds(static_cast<int>(random_.exponential(mean_delay_ms)));
     }
     deliver_after(delay);
-    if (random_.chance(message_doubling)) {
+    if (random_.chance(message_duplication_share)) {
         deliver_after(delay + milliseconds(static_cast<int>(random_.exponential(mean_delay_ms))));
     }
 }
 
-void world::keep_links() {
+void world::update_links() {
     cuts_.erase(
         std::remove_if(cuts_.begin(), cuts_.end(),
-                       [this](const cut_pair& cut) { return clock.now() >= cut.until + silence_limit; }),
+                       [this](const cut_pair& cut) { return clock.now() >= cut.until + link_timeout; }),
         cuts_.end());
     link_entries();
     link_stewards();
@@ -253,16 +255,16 @@
             const bool is_cut = !can_reach(node->name(), steward.name());
             time_point& since = node->link_cut_since[link->first];
             since = !is_cut ? time_point{} : since == time_point{} ? clock.now() : since;
-            if (is_gone || (is_cut && clock.now() - since >= silence_limit)) {
+            if (is_gone || (is_cut && clock.now() - since >= link_timeout)) {
                 const std::string incarnation = link->first;
                 link = node->links.erase(link);
                 node->link_cut_since.erase(incarnation);
-                node->run_here([&node = *node, incarnation] {
+                node->run_in_incarnation([&node = *node, incarnation] {
                     node.core->on_steward_down(incarnation, node.local_now());
                 });
                 if (!is_gone) {
                     steward.entries.erase(node->incarnation());
-                    steward.run_here([&steward, lost = node->incarnation()] {
+                    steward.run_in_incarnation([&steward, lost = node->incarnation()] {
                         steward.core->on_entry_down(lost, steward.local_now());
                     });
                 }
@@ -270,7 +272,8 @@
             }
             ++link;
         }
-        for (std::size_t tried = 0; tried < stewards_.size() && node->links.size() < links_wanted; ++tried) {
+        for (std::size_t tried = 0; tried < stewards_.size() && node->links.size() < links_per_entry;
+             ++tried) {
             const std::size_t index = random_.below(stewards_.size());
             steward_node& steward = *stewards_[index];
             const bool is_possible = steward.is_up() && !steward.is_paused() &&
@@ -283,8 +286,9 @@
             steward.entries[node->incarnation()] = static_cast<std::size_t>(&node - entries_.data());
             const hello_message hello{
                 "entry", node->name(), node->incarnation(), node->domain(), node->name(), 0, ""};
-            steward.run_here([&steward, hello] { steward.core->on_entry_up(hello, steward.local_now()); });
-            node->run_here([&node = *node, up = steward.incarnation(), domain = steward.domain()] {
+            steward.run_in_incarnation(
+                [&steward, hello] { steward.core->on_entry_up(hello, steward.local_now()); });
+            node->run_in_incarnation([&node = *node, up = steward.incarnation(), domain = steward.domain()] {
                 node.core->on_steward_up(up, domain, node.local_now());
             });
         }
@@ -294,7 +298,7 @@
             const entry_node& entry = *entries_[link->second];
             const bool is_gone = !entry.is_up() || entry.incarnation() != link->first;
             if (is_gone && steward->is_up()) {
-                steward->run_here([&node = *steward, lost = link->first] {
+                steward->run_in_incarnation([&node = *steward, lost = link->first] {
                     node.core->on_entry_down(lost, node.local_now());
                 });
             }
@@ -312,7 +316,7 @@
             const steward_node& peer = *stewards_[link->second];
             const bool is_gone = !peer.is_up() || peer.incarnation() != link->first;
             if (is_gone) {
-                node->run_here(
+                node->run_in_incarnation(
                     [&node = *node, lost = link->first] { node.core->on_peer_down(lost, node.local_now()); });
             }
             link = is_gone ? node->peers.erase(link) : std::next(link);
@@ -326,7 +330,8 @@
                 node->peers[peer.incarnation()] = index;
                 const hello_message hello{
                     "steward", peer.name(), peer.incarnation(), peer.domain(), peer.name(), 0, ""};
-                node->run_here([&node = *node, hello] { node.core->on_peer_up(hello, node.local_now()); });
+                node->run_in_incarnation(
+                    [&node = *node, hello] { node.core->on_peer_up(hello, node.local_now()); });
             }
         }
     }
--- a/src/simulation/world.h
+++ b/src/simulation/world.h
@@ -84,12 +84,12 @@
     std::uint64_t billed = 0;
     std::uint64_t bad_version_answers = 0;  ///< below the score, from a version that is bad
     std::uint64_t bad_version_released = 0; ///< all answers released from a version that is bad
-    std::uint64_t rated_enough = 0;         ///< model answers at the score
+    std::uint64_t good_model_answers = 0;   ///< model answers at the score
     std::uint64_t model_answers = 0;
     std::int64_t cost_micro = 0;
     double oracle_cost = 0; ///< had the cheapest version that answers well been known beforehand
     std::uint64_t commands_accepted = 0;
-    std::uint64_t restarts_of_streams = 0;
+    std::uint64_t stream_restarts = 0;
     std::vector<double> latency_ms;
     std::vector<double> first_token_ms;
     std::map<int, std::vector<double>> latency_by_team;
@@ -109,7 +109,7 @@
     /** Turns the callers' load on or off. */
     void set_load(double requests_per_second);
     /** One random fault or operator's command; see world_faults.cpp. */
-    void disturb();
+    void inject_disturbance();
     /** Ends every fault, stops the load and runs until all is answered, billed and in force. */
     void quiesce();
     /** Checks, after \ref quiesce, what must hold of the whole run; breaks invariants otherwise. */
@@ -143,30 +143,30 @@
     std::vector<std::unique_ptr<fake_endpoint>> endpoints;
     bool rater_is_down = false;
     duration rater_delay = milliseconds(20);
-    double message_doubling = 0.0;
+    double message_duplication_share = 0.0;
     double message_delay_share = 0.0;
 
     entry_core* entry(std::size_t index);
     steward_core* steward(std::size_t index);
     /** \return the time by the clock of the entry \p index, which is skewed. */
     time_point entry_time(std::size_t index) const;
-    const metrics& entry_numbers(std::size_t index) const;
+    const metrics& entry_metrics(std::size_t index) const;
     const world_report& report();
     fleet_head head_in_platform() const;
     /** Sends one request of \p team to the entry \p index, outside the random load. \return its operation */
-    std::uint64_t ask(std::size_t index, const operation& wish);
+    std::uint64_t ask(std::size_t index, const operation& op);
     /** The same, with \p token as the caller's session. */
-    std::uint64_t ask_with_token(std::size_t index, const operation& wish, const std::string& token);
+    std::uint64_t ask_with_token(std::size_t index, const operation& op, const std::string& token);
     /** Sends one request to the entry that a caller would choose. */
-    std::uint64_t ask_any(const operation& wish);
+    std::uint64_t ask_any(const operation& op);
     bool is_open(std::uint64_t operation_id) const { return operations_.count(operation_id) > 0; }
     /** \return the last reply to the operation. */
     const caller_reply* reply_to(std::uint64_t operation_id) const;
-    std::int64_t runs_of(const std::string& marker) const;
+    std::int64_t run_count(const std::string& marker) const;
     std::string team_name(int team) const { return "team-" + std::to_string(team); }
     std::int64_t control_messages() const { return control_messages_; }
     std::int64_t control_bytes() const { return control_bytes_; }
-    bool measures_bytes = false;
+    bool counts_control_bytes = false;
 
 private:
     friend class entry_node;
@@ -193,35 +193,35 @@
     bool can_reach(const std::string& one, const std::string& other) const;
     void send(const std::string& from, const std::string& to, const node_message& message,
               std::function<void(const node_message&)> deliver);
-    void keep_links();
+    void update_links();
     void link_entries();
     void link_stewards();
     void build_endpoints();
     void publish_hosts();
     void repeat(duration interval, std::function<void()> work);
     template <class Node>
-    void when_stopped(Node& node, const std::string& incarnation, std::function<void()> work);
+    void run_when_stopped(Node& node, const std::string& incarnation, std::function<void()> work);
 
     // Callers (world_callers.cpp).
-    void next_arrival();
-    void new_operation();
-    std::uint64_t begin_operation(operation wish);
+    void schedule_next_arrival();
+    void start_random_operation();
+    std::uint64_t begin_operation(operation op);
     void issue(std::uint64_t id);
     void issue_to(std::uint64_t id, std::size_t entry);
-    std::optional<std::size_t> choose_entry(const operation& wish);
+    std::optional<std::size_t> choose_entry(const operation& op);
     void on_reply(const caller_reply& reply);
     void on_stream(const stream_part& part);
-    void on_whole(const operation& done, const caller_reply& reply, const std::string& text);
-    void on_not_whole(std::uint64_t id, const caller_reply& reply);
+    void on_complete_answer(const operation& done, const caller_reply& reply, const std::string& text);
+    void on_error_reply(std::uint64_t id, const caller_reply& reply);
     void on_entry_lost(const std::string& incarnation);
-    void try_again(std::uint64_t id, duration delay);
+    void retry_later(std::uint64_t id, duration delay);
     void check_session(const operation& done, const caller_reply& reply);
 
     // Checks (world_checks.cpp).
     void check_dispatch(std::size_t entry, const endpoint_call& call);
-    void note_run(const endpoint_call& call);
+    void record_run(const endpoint_call& call);
     void on_command_reply(const command_reply& reply);
-    void watch_in_force();
+    void update_changes_in_force();
     void check_bills();
 
     world_options options_;
@@ -243,7 +243,7 @@
     std::unordered_set<std::string> run_requests_;
     std::unordered_set<std::string> refused_requests_;
     std::set<bill_key> answered_bills_;
-    std::set<std::string> single_markers_;
+    std::set<std::string> at_most_once_markers_;
 
     std::map<std::string, fleet_command> open_commands_;
     std::vector<accepted_change> accepted_;
@@ -253,7 +253,7 @@
     int last_bundle_ = 1;
     time_point last_entry_kill_;
     time_point last_steward_kill_;
-    int steward_kills_while_dark_ = 0;
+    int steward_kills_while_platform_down_ = 0;
     std::int64_t control_messages_ = 0;
     std::int64_t control_bytes_ = 0;
     world_report report_;
--- a/src/simulation/world_callers.cpp
+++ b/src/simulation/world_callers.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-constexpr int most_tries = 6;
-constexpr double keyed_share = 0.8;
+constexpr int max_tries = 6;
+constexpr double idempotency_key_share = 0.8;
 constexpr double good_score = 0.7;
 const std::string session_key = "session-key-of-the-world";
 
@@ -22,80 +22,79 @@
     load_ = requests_per_second;
     ++load_generation_;
     if (load_ > 0) {
-        next_arrival();
+        schedule_next_arrival();
     }
 }
 
-void world::next_arrival() {
+void world::schedule_next_arrival() {
     const std::uint64_t generation = load_generation_;
     constexpr double micro = 1e6;
     const auto gap = std::chrono::microseconds(static_cast<std::int64_t>(random_.exponential(micro / load_)));
     clock.after(gap, [this, generation] {
         if (generation == load_generation_) {
-            new_operation();
-            next_arrival();
+            start_random_operation();
+            schedule_next_arrival();
         }
     });
 }
 
-void world::new_operation() {
-    operation wish;
+void world::start_random_operation() {
+    operation op;
     const double flood = options_.flood_factor / (options_.flood_factor + options_.teams - 1);
     const auto others = static_cast<std::size_t>(std::max(1, options_.teams - 1));
-    wish.team =
-        options_.teams == 1 || random_.chance(flood) ? 0 : 1 + static_cast<int>(random_.below(others));
-    wish.session = random_.below(sessions_[static_cast<std::size_t>(wish.team)].size());
+    op.team = options_.teams == 1 || random_.chance(flood) ? 0 : 1 + static_cast<int>(random_.below(others));
+    op.session = random_.below(sessions_[static_cast<std::size_t>(op.team)].size());
     if (random_.chance(1.0 / options_.session_length)) {
-        session_state& ended = sessions_[static_cast<std::size_t>(wish.team)][wish.session];
-        ended = {"session-" + std::to_string(wish.team) + "-" + std::to_string(++last_session_), "", {}};
+        session_state& ended = sessions_[static_cast<std::size_t>(op.team)][op.session];
+        ended = {"session-" + std::to_string(op.team) + "-" + std::to_string(++last_session_), "", {}};
     }
-    wish.is_service = random_.chance(options_.service_share);
-    wish.difficulty = random_.unit();
-    wish.kind = wish.difficulty < 0.5 ? "short" : "long";
+    op.is_service = random_.chance(options_.service_share);
+    op.difficulty = random_.unit();
+    op.kind = op.difficulty < 0.5 ? "short" : "long";
     // A caller's word for the kind says something of the difficulty, not all.
     if (random_.chance(0.2)) {
-        wish.kind = wish.kind == "short" ? "long" : "short";
+        op.kind = op.kind == "short" ? "long" : "short";
     }
-    wish.tokens = 10 + static_cast<int>(random_.below(30));
-    wish.stream = !wish.is_service && random_.chance(options_.stream_share);
-    if (wish.is_service) {
+    op.tokens = 10 + static_cast<int>(random_.below(30));
+    op.stream = !op.is_service && random_.chance(options_.stream_share);
+    if (op.is_service) {
         constexpr double read_share = 0.3;
-        wish.is_idempotent = random_.chance(read_share);
-        wish.service_path = wish.is_idempotent ? "free" : "book";
+        op.is_idempotent = random_.chance(read_share);
+        op.service_path = op.is_idempotent ? "free" : "book";
     }
-    const bool has_key = random_.chance(keyed_share);
-    if (!wish.is_service) {
+    const bool has_key = random_.chance(idempotency_key_share);
+    if (!op.is_service) {
         constexpr double per_thousand = 1000;
-        const double price = wish.difficulty < options_.cheap.skill ? 1.0 : options_.costly_price;
-        report_.oracle_cost += price * wish.tokens / per_thousand;
+        const double price = op.difficulty < options_.cheap.skill ? 1.0 : options_.costly_price;
+        report_.oracle_cost += price * op.tokens / per_thousand;
     }
-    wish.key = has_key ? "key-" + std::to_string(last_operation_ + 1) : "";
-    issue(begin_operation(wish));
+    op.key = has_key ? "key-" + std::to_string(last_operation_ + 1) : "";
+    issue(begin_operation(op));
 }
 
-std::uint64_t world::begin_operation(operation wish) {
-    wish.id = ++last_operation_;
-    wish.marker = wish.marker.empty() ? "op" + std::to_string(wish.id) : wish.marker;
-    wish.began = clock.now();
+std::uint64_t world::begin_operation(operation op) {
+    op.id = ++last_operation_;
+    op.marker = op.marker.empty() ? "op" + std::to_string(op.id) : op.marker;
+    op.began = clock.now();
     ++report_.asked;
-    const std::uint64_t id = wish.id;
-    operations_[id] = std::move(wish);
+    const std::uint64_t id = op.id;
+    operations_[id] = std::move(op);
     return id;
 }
 
-std::uint64_t world::ask(std::size_t index, const operation& wish) {
-    const std::uint64_t id = begin_operation(wish);
+std::uint64_t world::ask(std::size_t index, const operation& op) {
+    const std::uint64_t id = begin_operation(op);
     issue_to(id, index);
     return id;
 }
 
-std::uint64_t world::ask_with_token(std::size_t index, const operation& wish, const std::string& token) {
-    sessions_[static_cast<std::size_t>(wish.team)][wish.session].token = token;
-    return ask(index, wish);
+std::uint64_t world::ask_with_token(std::size_t index, const operation& op, const std::string& token) {
+    sessions_[static_cast<std::size_t>(op.team)][op.session].token = token;
+    return ask(index, op);
 }
 
-std::uint64_t world::ask_any(const operation& wish) {
-    const std::uint64_t id = begin_operation(wish);
+std::uint64_t world::ask_any(const operation& op) {
+    const std::uint64_t id = begin_operation(op);
     issue(id);
     return id;
 }
@@ -105,14 +104,14 @@
     return found == replies_.end() ? nullptr : &found->second;
 }
 
-std::int64_t world::runs_of(const std::string& marker) const {
+std::int64_t world::run_count(const std::string& marker) const {
     const auto found = runs_by_marker_.find(marker);
     return found == runs_by_marker_.end() ? 0 : found->second;
 }
 
 // A caller asks any entry that answers which to use, and takes the first it can reach.
-std::optional<std::size_t> world::choose_entry(const operation& wish) {
-    const session_state& session = sessions_[static_cast<std::size_t>(wish.team)][wish.session];
+std::optional<std::size_t> world::choose_entry(const operation& op) {
+    const session_state& session = sessions_[static_cast<std::size_t>(op.team)][op.session];
     const std::size_t first = random_.below(entries_.size());
     for (std::size_t i = 0; i < entries_.size(); ++i) {
         const entry_node& asked = *entries_[(first + i) % entries_.size()];
@@ -122,7 +121,7 @@
         std::vector<entry_choice> choices = asked.core->entries_for(session.id);
         std::rotate(choices.begin(),
                     choices.begin() +
-                        std::min<std::ptrdiff_t>(wish.tries, static_cast<std::ptrdiff_t>(choices.size())),
+                        std::min<std::ptrdiff_t>(op.tries, static_cast<std::ptrdiff_t>(choices.size())),
                     choices.end());
         for (const entry_choice& choice : choices) {
             for (std::size_t index = 0; index < entries_.size(); ++index) {
@@ -140,37 +139,35 @@
     if (chosen) {
         issue_to(id, *chosen);
     } else {
-        try_again(id, milliseconds(500));
+        retry_later(id, milliseconds(500));
     }
 }
 
 void world::issue_to(std::uint64_t id, std::size_t index) {
-    operation& wish = operations_.at(id);
+    operation& op = operations_.at(id);
     entry_node& entry = *entries_[index];
-    ++wish.tries;
-    wish.entry = index;
-    wish.entry_incarnation = entry.incarnation();
-    wish.text.clear();
-    wish.parts = 0;
-    wish.session_id = sessions_[static_cast<std::size_t>(wish.team)][wish.session].id;
-    const session_state& session = sessions_[static_cast<std::size_t>(wish.team)][wish.session];
+    ++op.tries;
+    op.entry = index;
+    op.entry_incarnation = entry.incarnation();
+    op.text.clear();
+    op.parts = 0;
+    op.session_id = sessions_[static_cast<std::size_t>(op.team)][op.session].id;
+    const session_state& session = sessions_[static_cast<std::size_t>(op.team)][op.session];
     caller_request request;
     request.caller = id;
-    request.team_key = team_name(wish.team) + "-key";
-    request.service = wish.is_service ? "booking" : "";
-    request.path = wish.service_path;
-    request.kind = wish.kind;
-    request.idempotency_key = wish.key;
+    request.team_key = team_name(op.team) + "-key";
+    request.service = op.is_service ? "booking" : "";
+    request.path = op.service_path;
+    request.kind = op.kind;
+    request.idempotency_key = op.key;
     request.session = session.token.empty() ? session.id : session.token;
     request.prefix = session.id;
-    request.stream = wish.stream;
-    request.expected_tokens = wish.tokens;
-    request.body = {{"marker", wish.marker},
-                    {"difficulty", wish.difficulty},
-                    {"tokens", wish.tokens},
-                    {"prefix", session.id}};
-    if (wish.is_service && !wish.is_idempotent) {
-        single_markers_.insert(wish.marker);
+    request.stream = op.stream;
+    request.expected_tokens = op.tokens;
+    request.body = {
+        {"marker", op.marker}, {"difficulty", op.difficulty}, {"tokens", op.tokens}, {"prefix", session.id}};
+    if (op.is_service && !op.is_idempotent) {
+        at_most_once_markers_.insert(op.marker);
     }
     constexpr duration client_latency = milliseconds(3);
     clock.after(client_latency, [this, id, request, &entry, incarnation = entry.incarnation()] {
@@ -179,21 +176,21 @@
             return; // The entry was lost meanwhile and another has been asked.
         }
         if (!entry.is_up() || entry.incarnation() != incarnation) {
-            try_again(id, milliseconds(50)); // The connection is refused: nothing was sent.
+            retry_later(id, milliseconds(50)); // The connection is refused: nothing was sent.
             return;
         }
-        entry.run_here([&entry, request] { entry.core->on_request(request, entry.local_now()); });
+        entry.run_in_incarnation([&entry, request] { entry.core->on_request(request, entry.local_now()); });
     });
 }
 
-void world::try_again(std::uint64_t id, duration delay) {
-    operation& wish = operations_.at(id);
-    if (wish.tries >= most_tries || !options_.callers_retry) {
+void world::retry_later(std::uint64_t id, duration delay) {
+    operation& op = operations_.at(id);
+    if (op.tries >= max_tries || !options_.callers_retry) {
         ++report_.refused;
         operations_.erase(id);
         return;
     }
-    wish.entry_incarnation.clear();
+    op.entry_incarnation.clear();
     clock.after(delay, [this, id] {
         if (operations_.count(id) > 0) {
             issue(id);
@@ -204,16 +201,16 @@
 // The connection breaks. Whether the call ran is not known; a caller repeats only what it may.
 void world::on_entry_lost(const std::string& incarnation) {
     std::vector<std::uint64_t> lost;
-    for (const auto& [id, wish] : operations_) {
-        if (wish.entry_incarnation == incarnation) {
+    for (const auto& [id, op] : operations_) {
+        if (op.entry_incarnation == incarnation) {
             lost.push_back(id);
         }
     }
     std::sort(lost.begin(), lost.end());
     for (const std::uint64_t id : lost) {
-        const operation& wish = operations_.at(id);
-        if (wish.is_idempotent || !wish.key.empty()) {
-            try_again(id, milliseconds(100));
+        const operation& op = operations_.at(id);
+        if (op.is_idempotent || !op.key.empty()) {
+            retry_later(id, milliseconds(100));
         } else {
             ++report_.failed;
             operations_.erase(id);
@@ -226,20 +223,20 @@
     if (found == operations_.end()) {
         return;
     }
-    operation& wish = found->second;
+    operation& op = found->second;
     switch (part.what) {
     case stream_part::kind::text:
-        if (!wish.has_first) {
-            wish.has_first = true;
-            report_.first_token_ms.push_back(to_ms(clock.now() - wish.began));
+        if (!op.has_first) {
+            op.has_first = true;
+            report_.first_token_ms.push_back(to_ms(clock.now() - op.began));
         }
-        wish.text += part.text;
-        ++wish.parts;
+        op.text += part.text;
+        ++op.parts;
         return;
     case stream_part::kind::restart:
-        ++report_.restarts_of_streams;
-        wish.text.clear();
-        wish.parts = 0;
+        ++report_.stream_restarts;
+        op.text.clear();
+        op.parts = 0;
         return;
     case stream_part::kind::failure:
         on_reply(part.summary);
@@ -247,16 +244,16 @@
     case stream_part::kind::end:
         break;
     }
-    const bool is_replayed = wish.parts <= 1;
+    const bool is_replayed = op.parts <= 1;
     std::string expected;
-    for (int i = 0; i < wish.tokens; ++i) {
-        expected += wish.marker + "/" + std::to_string(i) + " ";
+    for (int i = 0; i < op.tokens; ++i) {
+        expected += op.marker + "/" + std::to_string(i) + " ";
     }
-    invariant("own_whole_answer", is_replayed || wish.text == expected, [&] {
-        return json{{"operation", wish.id},
-                    {"parts", wish.parts},
-                    {"tokens", wish.tokens},
-                    {"text", wish.text.substr(0, 200)}};
+    invariant("own_whole_answer", is_replayed || op.text == expected, [&] {
+        return json{{"operation", op.id},
+                    {"parts", op.parts},
+                    {"tokens", op.tokens},
+                    {"text", op.text.substr(0, 200)}};
     });
     on_reply(part.summary);
 }
@@ -274,13 +271,13 @@
         const std::string text = done.is_service
                                      ? body.value("done", "")
                                      : body["choices"][0]["message"]["content"].get<std::string>();
-        on_whole(done, reply, text);
+        on_complete_answer(done, reply, text);
         return;
     }
-    on_not_whole(found->first, reply);
+    on_error_reply(found->first, reply);
 }
 
-void world::on_whole(const operation& done, const caller_reply& reply, const std::string& text) {
+void world::on_complete_answer(const operation& done, const caller_reply& reply, const std::string& text) {
     invariant("own_whole_answer", text.rfind(done.marker, 0) == 0, [&] {
         return json{{"operation", done.id}, {"marker", done.marker}, {"got", text}};
     });
@@ -297,7 +294,7 @@
     ++report_.model_answers;
     const std::size_t at = text.rfind("score=");
     const bool is_good = at != std::string::npos && std::atof(text.c_str() + at + 6) >= good_score;
-    report_.rated_enough += is_good ? 1 : 0;
+    report_.good_model_answers += is_good ? 1 : 0;
     if (bad_versions_.count(reply.version) > 0) {
         ++report_.bad_version_released;
         report_.bad_version_answers += is_good ? 0 : 1;
@@ -347,8 +344,8 @@
     session.token = reply.session;
 }
 
-void world::on_not_whole(std::uint64_t id, const caller_reply& reply) {
-    const operation& wish = operations_.at(id);
+void world::on_error_reply(std::uint64_t id, const caller_reply& reply) {
+    const operation& op = operations_.at(id);
     const json failure = reply.body.value("error", json::object());
     const std::string ran = failure.value("ran", "unknown");
     if (ran == "no") {
@@ -357,11 +354,11 @@
         });
         refused_requests_.insert(reply.request_id);
     }
-    const bool may_repeat = ran == "no" || wish.is_idempotent || !wish.key.empty();
+    const bool may_repeat = ran == "no" || op.is_idempotent || !op.key.empty();
     const std::string kind = failure.value("kind", "");
     const bool is_final = kind == "conflict" || kind == "unauthorized" || kind == "forbidden";
-    if (may_repeat && !is_final && wish.tries < most_tries && options_.callers_retry) {
-        try_again(id, milliseconds(std::max(50, reply.retry_after_ms)));
+    if (may_repeat && !is_final && op.tries < max_tries && options_.callers_retry) {
+        retry_later(id, milliseconds(std::max(50, reply.retry_after_ms)));
         return;
     }
     ++(ran == "no" ? report_.refused : report_.failed);
--- a/src/simulation/world_checks.cpp
+++ b/src/simulation/world_checks.cpp
@@ -13,8 +13,8 @@
 
 /** What the promise allows beyond the freshness limit: the way of a request that was sent just before. */
 constexpr duration in_force_slack = milliseconds(50);
-constexpr duration leaving_limit = seconds(6);
-constexpr duration quiet_limit = seconds(120);
+constexpr duration leaving_grace = seconds(6);
+constexpr duration quiesce_timeout = seconds(120);
 
 } // namespace
 
@@ -39,21 +39,21 @@
     }
     const auto leaving = leaving_since_.find(call.endpoint.name);
     invariant("leaving_gets_no_work",
-              leaving == leaving_since_.end() || now - leaving->second < leaving_limit, [&] {
+              leaving == leaving_since_.end() || now - leaving->second < leaving_grace, [&] {
                   return json{{"entry", entry.name()}, {"endpoint", call.endpoint.name}};
               });
 }
 
-void world::note_run(const endpoint_call& call) {
+void world::record_run(const endpoint_call& call) {
     run_requests_.insert(call.request_id);
     invariant("not_run_is_true", refused_requests_.count(call.request_id) == 0, [&] {
         return json{{"request", call.request_id}, {"ran_after", "it was refused as not run"}};
     });
     const std::string marker = call.body.value("marker", "");
     const std::int64_t runs = ++runs_by_marker_[marker];
-    const bool is_single = single_markers_.count(marker) > 0;
-    report_.doubled_calls += is_single && runs == 2 ? 1 : 0;
-    invariant("at_most_once", !is_single || runs <= 1, [&] {
+    const bool is_at_most_once = at_most_once_markers_.count(marker) > 0;
+    report_.doubled_calls += is_at_most_once && runs == 2 ? 1 : 0;
+    invariant("at_most_once", !is_at_most_once || runs <= 1, [&] {
         return json{{"marker", marker}, {"runs", runs}};
     });
 }
@@ -74,7 +74,7 @@
     command.nonce = "nonce-" + std::to_string(++last_command_);
     const std::string name = "command-" + std::to_string(last_command_);
     open_commands_[name] = command;
-    node->run_here([node, name, command, document] {
+    node->run_in_incarnation([node, name, command, document] {
         node->core->on_command(name, command, document, node->local_now());
     });
 }
@@ -100,7 +100,7 @@
     }
 }
 
-void world::watch_in_force() {
+void world::update_changes_in_force() {
     for (accepted_change& change : accepted_) {
         if (change.is_in_force) {
             continue;
@@ -125,13 +125,13 @@
     platform->faults = {};
     rater_is_down = false;
     rater_delay = milliseconds(20);
-    message_doubling = 0;
+    message_duplication_share = 0;
     message_delay_share = 0;
     for (const auto& endpoint : endpoints) {
         endpoint->is_dead = false;
         endpoint->is_silent = false;
-        endpoint->cut_share = 0;
-        endpoint->doubled_parts = 0;
+        endpoint->cut_answer_share = 0;
+        endpoint->duplicate_part_share = 0;
         endpoint->slow_factor = 1;
         endpoint->names_wrong_version = false;
         endpoint->mixes_answers = false;
@@ -142,7 +142,7 @@
     for (const auto& node : stewards_) {
         node->resume();
     }
-    const time_point limit = clock.now() + quiet_limit;
+    const time_point limit = clock.now() + quiesce_timeout;
     const auto is_quiet = [this] {
         const bool are_entries_quiet = std::all_of(entries_.begin(), entries_.end(), [](const auto& node) {
             return !node->is_up() || (node->core->open_requests() == 0 && node->core->undrained_bills() == 0);
@@ -192,8 +192,8 @@
     report_.lost = operations_.size();
     invariant("own_whole_answer", operations_.empty(), [&] {
         json open = json::array();
-        for (const auto& [id, wish] : operations_) {
-            open.push_back({{"operation", id}, {"entry", wish.entry_incarnation}, {"tries", wish.tries}});
+        for (const auto& [id, op] : operations_) {
+            open.push_back({{"operation", id}, {"entry", op.entry_incarnation}, {"tries", op.tries}});
         }
         return json{{"callers_without_any_answer", open}};
     });
--- a/src/simulation/world_faults.cpp
+++ b/src/simulation/world_faults.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr duration dark_memory = seconds(10);
+constexpr duration min_kill_spacing = seconds(10);
 
 } // namespace
 
@@ -30,7 +30,7 @@
 void world::kill_steward(std::size_t index, duration down_for) {
     steward_node& node = *stewards_[index];
     last_steward_kill_ = clock.now();
-    steward_kills_while_dark_ += platform->faults.is_down ? 1 : 0;
+    steward_kills_while_platform_down_ += platform->faults.is_down ? 1 : 0;
     node.kill();
     clock.after(down_for, [&node] {
         if (!node.is_up()) {
@@ -48,7 +48,7 @@
 }
 
 template <class Node>
-void world::when_stopped(Node& node, const std::string& incarnation, std::function<void()> work) {
+void world::run_when_stopped(Node& node, const std::string& incarnation, std::function<void()> work) {
     clock.after(milliseconds(100), [this, &node, incarnation, work = std::move(work)] {
         if (!node.is_up() || node.incarnation() != incarnation) {
             return; // Killed on the way.
@@ -56,7 +56,7 @@
         if (node.core->is_stopped()) {
             work();
         } else {
-            when_stopped(node, incarnation, work);
+            run_when_stopped(node, incarnation, work);
         }
     });
 }
@@ -66,8 +66,8 @@
     if (!node.is_up()) {
         return;
     }
-    node.run_here([&node] { node.core->begin_stop(node.local_now()); });
-    when_stopped(node, node.incarnation(), [this, &node, index, down_for] {
+    node.run_in_incarnation([&node] { node.core->begin_stop(node.local_now()); });
+    run_when_stopped(node, node.incarnation(), [this, &node, index, down_for] {
         const bool has_open = std::any_of(operations_.begin(), operations_.end(), [&node](const auto& item) {
             return item.second.entry_incarnation == node.incarnation() && item.second.parts > 0;
         });
@@ -83,8 +83,8 @@
     if (!node.is_up()) {
         return;
     }
-    node.run_here([&node] { node.core->begin_stop(node.local_now()); });
-    when_stopped(node, node.incarnation(), [this, &node, down_for] {
+    node.run_in_incarnation([&node] { node.core->begin_stop(node.local_now()); });
+    run_when_stopped(node, node.incarnation(), [this, &node, down_for] {
         node.kill();
         clock.after(down_for, [&node] {
             if (!node.is_up()) {
@@ -151,11 +151,11 @@
     duration delay{};
     for (const command_kind kind : {command_kind::submit, command_kind::sign_off, command_kind::roll}) {
         clock.after(delay, [this, kind, document] {
-            fleet_command wish;
-            wish.kind = kind;
-            wish.bundle_id = document.id;
-            wish.sha256 = content_hash(document);
-            command(wish, kind == command_kind::submit ? std::optional(document) : std::nullopt,
+            fleet_command new_command;
+            new_command.kind = kind;
+            new_command.bundle_id = document.id;
+            new_command.sha256 = content_hash(document);
+            command(new_command, kind == command_kind::submit ? std::optional(document) : std::nullopt,
                     random_.below(stewards_.size()));
         });
         delay += pause_between;
@@ -164,11 +164,11 @@
 }
 
 void world::withdraw(const version_name& version, std::size_t steward) {
-    fleet_command wish;
-    wish.kind = command_kind::withdraw_version;
-    wish.versions = {version};
-    wish.reason = "bad in production";
-    command(wish, std::nullopt, steward);
+    fleet_command new_command;
+    new_command.kind = command_kind::withdraw_version;
+    new_command.versions = {version};
+    new_command.reason = "bad in production";
+    command(new_command, std::nullopt, steward);
 }
 
 // ---- events of traces ----
@@ -212,7 +212,7 @@
 
 // ---- random disturbances ----
 
-void world::disturb() {
+void world::inject_disturbance() {
     const auto some = [this](int low_ms, int high_ms) {
         return milliseconds(low_ms +
                             static_cast<int>(random_.below(static_cast<std::size_t>(high_ms - low_ms))));
@@ -225,22 +225,22 @@
     const auto any_node = [&] {
         return random_.chance(0.5) ? entries_[any_entry()]->name() : stewards_[any_steward()]->name();
     };
-    const auto for_a_while = [this](duration span, std::function<void()> undo) {
+    const auto undo_after = [this](duration span, std::function<void()> undo) {
         clock.after(span, std::move(undo));
     };
     // A record stands on two stewards and its entry until it is in the platform. Losing all of them is the
     // one loss that docs/PROMISES.md lists as not covered, so the random runs keep such losses apart.
-    const bool may_lose_memory = clock.now() - last_entry_kill_ > dark_memory &&
-                                 clock.now() - last_steward_kill_ > dark_memory &&
-                                 (!platform->faults.is_down || steward_kills_while_dark_ == 0);
+    const bool may_kill_node = clock.now() - last_entry_kill_ > min_kill_spacing &&
+                               clock.now() - last_steward_kill_ > min_kill_spacing &&
+                               (!platform->faults.is_down || steward_kills_while_platform_down_ == 0);
     switch (random_.below(23)) {
     case 0:
-        if (may_lose_memory) {
+        if (may_kill_node) {
             kill_entry(any_entry(), some(300, 6000));
         }
         break;
     case 1:
-        if (may_lose_memory) {
+        if (may_kill_node) {
             kill_steward(any_steward(), some(300, 8000));
         }
         break;
@@ -259,46 +259,46 @@
     case 6:
         if (!platform->faults.is_down) {
             platform->faults.is_down = true;
-            steward_kills_while_dark_ = 0;
-            for_a_while(some(500, 25000), [this] { platform->faults.is_down = false; });
+            steward_kills_while_platform_down_ = 0;
+            undo_after(some(500, 25000), [this] { platform->faults.is_down = false; });
         }
         break;
     case 7:
         platform->faults.delay = some(3, 1500);
-        for_a_while(some(500, 10000), [this] { platform->faults.delay = milliseconds(3); });
+        undo_after(some(500, 10000), [this] { platform->faults.delay = milliseconds(3); });
         break;
     case 8:
         platform->faults.lost_answers = random_.unit() * 0.7;
-        for_a_while(some(500, 15000), [this] { platform->faults.lost_answers = 0; });
+        undo_after(some(500, 15000), [this] { platform->faults.lost_answers = 0; });
         break;
     case 9:
         platform->faults.late_writes = random_.unit() * 0.5;
-        for_a_while(some(500, 15000), [this] { platform->faults.late_writes = 0; });
+        undo_after(some(500, 15000), [this] { platform->faults.late_writes = 0; });
         break;
     case 10: {
         fake_endpoint& endpoint = any_endpoint();
         endpoint.is_dead = true;
-        for_a_while(some(500, 20000), [&endpoint] { endpoint.is_dead = false; });
+        undo_after(some(500, 20000), [&endpoint] { endpoint.is_dead = false; });
         break;
     }
     case 11: {
         fake_endpoint& endpoint = any_endpoint();
         endpoint.is_silent = true;
-        for_a_while(some(500, 20000), [&endpoint] { endpoint.is_silent = false; });
+        undo_after(some(500, 20000), [&endpoint] { endpoint.is_silent = false; });
         break;
     }
     case 12: {
         fake_endpoint& endpoint = any_endpoint();
-        double& fault = random_.chance(0.5) ? endpoint.cut_share : endpoint.doubled_parts;
+        double& fault = random_.chance(0.5) ? endpoint.cut_answer_share : endpoint.duplicate_part_share;
         fault = random_.unit();
-        for_a_while(some(500, 20000), [&fault] { fault = 0; });
+        undo_after(some(500, 20000), [&fault] { fault = 0; });
         break;
     }
     case 13: {
         fake_endpoint& endpoint = any_endpoint();
         bool& fault = random_.chance(0.5) ? endpoint.names_wrong_version : endpoint.mixes_answers;
         fault = true;
-        for_a_while(some(500, 10000), [&fault] { fault = false; });
+        undo_after(some(500, 10000), [&fault] { fault = false; });
         break;
     }
     case 14: {
@@ -325,16 +325,16 @@
     case 15:
         rater_is_down = random_.chance(0.5);
         rater_delay = some(20, 1500);
-        for_a_while(some(500, 15000), [this] {
+        undo_after(some(500, 15000), [this] {
             rater_is_down = false;
             rater_delay = milliseconds(20);
         });
         break;
     case 16:
-        message_doubling = random_.unit() * 0.3;
+        message_duplication_share = random_.unit() * 0.3;
         message_delay_share = random_.unit() * 0.2;
-        for_a_while(some(500, 15000), [this] {
-            message_doubling = 0;
+        undo_after(some(500, 15000), [this] {
+            message_duplication_share = 0;
             message_delay_share = 0;
         });
         break;
@@ -346,12 +346,12 @@
     case 18: {
         const fleet_head head = head_in_platform();
         if (!head.rolling.empty()) {
-            fleet_command wish;
+            fleet_command new_command;
             const command_kind kinds[] = {command_kind::pause, command_kind::resume,
                                           command_kind::withdraw_bundle};
-            wish.kind = kinds[random_.below(3)];
-            wish.bundle_id = head.rolling;
-            command(wish, std::nullopt, any_steward());
+            new_command.kind = kinds[random_.below(3)];
+            new_command.bundle_id = head.rolling;
+            command(new_command, std::nullopt, any_steward());
         }
         break;
     }
@@ -359,13 +359,13 @@
         // Racing operators: two changes decided on the same revision, through two stewards.
         const fleet_head head = head_in_platform();
         for (const char* by : {"ana", "bruno"}) {
-            fleet_command wish;
-            wish.kind = head.rolling.empty() ? command_kind::withdraw_version : command_kind::pause;
-            wish.bundle_id = head.rolling;
-            wish.versions = {"cheap@0"};
-            wish.by = by;
-            wish.expected_revision = head.revision;
-            command(wish, std::nullopt, any_steward());
+            fleet_command new_command;
+            new_command.kind = head.rolling.empty() ? command_kind::withdraw_version : command_kind::pause;
+            new_command.bundle_id = head.rolling;
+            new_command.versions = {"cheap@0"};
+            new_command.by = by;
+            new_command.expected_revision = head.revision;
+            command(new_command, std::nullopt, any_steward());
         }
         break;
     }
@@ -379,20 +379,20 @@
     case 21: {
         // The worst moment: a withdrawal through a steward that its peers cannot hear, and the platform
         // goes dark as soon as it is written.
-        const std::size_t lonely = any_steward();
+        const std::size_t isolated = any_steward();
         for (const auto& peer : stewards_) {
-            cut(stewards_[lonely]->name(), peer->name(), seconds(12));
+            cut(stewards_[isolated]->name(), peer->name(), seconds(12));
         }
-        withdraw("cheap@" + std::to_string(last_bundle_), lonely);
+        withdraw("cheap@" + std::to_string(last_bundle_), isolated);
         clock.after(milliseconds(15), [this] {
             platform->faults.is_down = true;
-            steward_kills_while_dark_ = 0;
+            steward_kills_while_platform_down_ = 0;
         });
-        for_a_while(some(3000, 15000), [this] { platform->faults.is_down = false; });
+        undo_after(some(3000, 15000), [this] { platform->faults.is_down = false; });
         break;
     }
     default:
-        if (may_lose_memory) {
+        if (may_kill_node) {
             random_.chance(0.6) ? stop_entry(any_entry(), some(300, 3000))
                                 : stop_steward(any_steward(), some(300, 3000));
         }
--- a/src/standin/answer_model.h
+++ b/src/standin/answer_model.h
@@ -19,7 +19,8 @@
 
 /** \return the score of an answer: 0.9 if the version's skill is above the request's difficulty (from the
  * request's text, uniform in [0, 1)), with a little chance either way, else 0.3. */
-inline double score_of(const version_skill& version, const std::string& version_name, const json& request) {
+inline double answer_score(const version_skill& version, const std::string& version_name,
+                           const json& request) {
     constexpr double noise_share = 0.03;
     const std::string text = request.value("messages", json::array()).dump();
     const double difficulty = unit_hash("difficulty " + text);
--- a/src/standin/engine.cpp
+++ b/src/standin/engine.cpp
@@ -6,15 +6,15 @@
 
 namespace {
 
-constexpr std::size_t cached_prefix_count = 64;
-constexpr double cached_prefix_gain =
+constexpr std::size_t max_cached_prefixes = 64;
+constexpr double cached_prefix_time_factor =
     0.3; ///< share of the time to the first token that a cached prefix leaves
-constexpr std::size_t longest_queue = 64;
+constexpr std::size_t max_queue_length = 64;
 constexpr int default_tokens = 20;
-constexpr int most_tokens = 400;
+constexpr int max_tokens_per_answer = 400;
 
 int tokens_of(const json& body) {
-    return std::clamp(body.value("max_tokens", default_tokens), 1, most_tokens);
+    return std::clamp(body.value("max_tokens", default_tokens), 1, max_tokens_per_answer);
 }
 
 } // namespace
@@ -25,7 +25,7 @@
 }
 
 void weight_store::begin_next() {
-    if (waiting_.empty() || running_ >= loads_at_a_time) {
+    if (waiting_.empty() || running_ >= max_concurrent_loads) {
         return;
     }
     ++running_;
@@ -113,7 +113,7 @@
         headers["X-Not-Run"] = "1";
         headers["X-Version-Missing"] = "1";
         responder->reply(409, headers, R"({"error":"not loaded"})");
-    } else if (queue_.size() >= longest_queue) {
+    } else if (queue_.size() >= max_queue_length) {
         headers["X-Not-Run"] = "1";
         responder->reply(429, headers, R"({"error":"busy"})");
     } else {
@@ -145,12 +145,12 @@
         cached_prefixes_.erase(cached);
     }
     cached_prefixes_.push_front(prefix);
-    if (cached_prefixes_.size() > cached_prefix_count) {
+    if (cached_prefixes_.size() > max_cached_prefixes) {
         cached_prefixes_.pop_back();
     }
     const double base_ms = settings_.versions[work->version].first_token_ms * faults_.slow_factor;
     return std::chrono::duration_cast<duration>(
-        std::chrono::duration<double, std::milli>(is_cached ? base_ms * cached_prefix_gain : base_ms));
+        std::chrono::duration<double, std::milli>(is_cached ? base_ms * cached_prefix_time_factor : base_ms));
 }
 
 void stand_in_engine::run(const shared_job& work) {
@@ -171,7 +171,7 @@
 std::string stand_in_engine::answer_of(const shared_job& work) const {
     const version_skill& skill = settings_.versions.at(work->version);
     return "answer to " + work->request_id + " by " + work->version +
-           " score=" + json(score_of(skill, work->version, work->body)).dump();
+           " score=" + json(answer_score(skill, work->version, work->body)).dump();
 }
 
 http_headers stand_in_engine::headers_for(const shared_job& work) const {
--- a/src/standin/engine.h
+++ b/src/standin/engine.h
@@ -36,7 +36,7 @@
     void load(duration takes, std::function<void()> done);
 
 private:
-    static constexpr int loads_at_a_time = 4;
+    static constexpr int max_concurrent_loads = 4;
     void begin_next();
     event_loop& loop_;
     int running_ = 0;
--- a/src/standin/object_store.cpp
+++ b/src/standin/object_store.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-constexpr std::size_t largest_value = 1 << 20;
+constexpr std::size_t max_value_bytes = 1 << 20;
 const std::string objects_path = "/objects/";
 const std::string watch_path = "/watch/";
 
@@ -16,7 +16,7 @@
 
 object_store::object_store(event_loop& loop, const socket_address& address) : loop_{loop} {
     http_limits limits;
-    limits.body_bytes = largest_value;
+    limits.body_bytes = max_value_bytes;
     server_ =
         listen_or_exit(loop, "config", address, limits,
                        [this](const http_request& request, const std::shared_ptr<http_responder>& responder) {
@@ -92,7 +92,7 @@
 
 void object_store::put(const std::string& key, const json& value) {
     objects_[key] = {++version_, value};
-    tell_watches(key);
+    notify_watches(key);
 }
 
 void object_store::on_watch(const std::string& key, const http_request& request,
@@ -114,8 +114,8 @@
     });
 }
 
-void object_store::tell_watches(const std::string& key) {
-    for (waiting_watch& watch : watches_) {
+void object_store::notify_watches(const std::string& key) {
+    for (pending_watch& watch : watches_) {
         if (watch.key == key && watch.responder) {
             on_get(key, watch.responder);
             watch.responder.reset();
--- a/src/standin/object_store.h
+++ b/src/standin/object_store.h
@@ -33,7 +33,7 @@
         std::int64_t version = 0;
         json value;
     };
-    struct waiting_watch {
+    struct pending_watch {
         std::string key;
         std::int64_t since = 0;
         std::shared_ptr<http_responder> responder;
@@ -45,11 +45,11 @@
                 const std::shared_ptr<http_responder>& responder);
     void on_watch(const std::string& key, const http_request& request,
                   const std::shared_ptr<http_responder>& responder);
-    void tell_watches(const std::string& key);
+    void notify_watches(const std::string& key);
 
     event_loop& loop_;
     std::map<std::string, stored> objects_;
-    std::list<waiting_watch> watches_;
+    std::list<pending_watch> watches_;
     std::int64_t version_ = 0;
     store_faults faults_;
     random_source random_{7};
--- a/src/standin/plain_service.cpp
+++ b/src/standin/plain_service.cpp
@@ -3,11 +3,11 @@
 namespace laurelhoist {
 
 namespace {
-constexpr duration work_time = milliseconds(15);
+constexpr duration service_time = milliseconds(15);
 }
 
 plain_service::plain_service(event_loop& loop, const socket_address& address, std::string name,
-                             done_calls& done)
+                             calls_by_reference& done)
     : loop_{loop}, name_{std::move(name)}, done_{done} {
     server_ =
         listen_or_exit(loop, "config", address, {},
@@ -33,7 +33,7 @@
         responder->cut();
         return;
     }
-    loop_.after(work_time, [this, responder, headers, reference, path = request.path] {
+    loop_.after(service_time, [this, responder, headers, reference, path = request.path] {
         responder->reply(200, headers, json{{"done", path}, {"reference", reference}, {"by", name_}}.dump());
     });
 }
--- a/src/standin/plain_service.h
+++ b/src/standin/plain_service.h
@@ -9,7 +9,7 @@
 namespace laurelhoist {
 
 /** What all endpoints of all services have done, by the reference in the call's body. */
-using done_calls = std::map<std::string, std::int64_t>;
+using calls_by_reference = std::map<std::string, std::int64_t>;
 
 struct service_faults {
     std::string
@@ -19,7 +19,8 @@
 
 class plain_service {
 public:
-    plain_service(event_loop& loop, const socket_address& address, std::string name, done_calls& done);
+    plain_service(event_loop& loop, const socket_address& address, std::string name,
+                  calls_by_reference& done);
     void set_faults(const service_faults& faults) { faults_ = faults; }
     const std::string& name() const { return name_; }
 
@@ -28,7 +29,7 @@
 
     event_loop& loop_;
     std::string name_;
-    done_calls& done_;
+    calls_by_reference& done_;
     service_faults faults_;
     std::unique_ptr<http_server> server_;
 };
--- a/src/standin/rater.cpp
+++ b/src/standin/rater.cpp
@@ -2,7 +2,7 @@
 
 namespace laurelhoist {
 
-double score_in(const std::string& answer) {
+double parse_score(const std::string& answer) {
     constexpr std::string_view mark = "score=";
     const std::size_t at = answer.rfind(mark);
     return at == std::string::npos ? -1.0 : std::atof(answer.c_str() + at + mark.size());
@@ -17,7 +17,7 @@
                                return;
                            }
                            const json body = json::parse(request.body, nullptr, false);
-                           const double score = score_in(body.value("answer", ""));
+                           const double score = parse_score(body.value("answer", ""));
                            loop_.after(milliseconds(faults_.slow_ms), [responder, score] {
                                responder->reply(200, {}, json{{"score", score}}.dump());
                            });
--- a/src/standin/rater.h
+++ b/src/standin/rater.h
@@ -26,6 +26,6 @@
 };
 
 /** \return the score written into \p answer, or a negative number. */
-double score_in(const std::string& answer);
+double parse_score(const std::string& answer);
 
 } // namespace laurelhoist
--- a/test/node_test.cpp
+++ b/test/node_test.cpp
@@ -264,14 +264,14 @@
     const std::uint64_t one = simulated.ask(0, booking("k1", "m1"));
     const std::uint64_t two = simulated.ask(1, booking("k1", "m1"));
     simulated.run_for(seconds(3));
-    EXPECT_EQ(simulated.runs_of("m1"), 1);
+    EXPECT_EQ(simulated.run_count("m1"), 1);
     const bool has_answer =
         kind_of(simulated.reply_to(one)) == "answered" || kind_of(simulated.reply_to(two)) == "answered";
     EXPECT_TRUE(has_answer);
     const std::uint64_t later = simulated.ask(2, booking("k1", "m1"));
     simulated.run_for(seconds(3));
     EXPECT_EQ(kind_of(simulated.reply_to(later)), "answered") << "the kept answer";
-    EXPECT_EQ(simulated.runs_of("m1"), 1);
+    EXPECT_EQ(simulated.run_count("m1"), 1);
 }
 
 TEST_F(failure, a_key_reused_for_another_request_is_a_conflict) {
@@ -284,7 +284,7 @@
     simulated.run_for(seconds(3));
     EXPECT_EQ(kind_of(simulated.reply_to(same_entry)), "conflict");
     EXPECT_EQ(kind_of(simulated.reply_to(other_entry)), "conflict");
-    EXPECT_EQ(simulated.runs_of("m2"), 0);
+    EXPECT_EQ(simulated.run_count("m2"), 0);
 }
 
 // A roll-out has taken a session at one entry; its next request reaches an entry that has not heard of the
@@ -309,7 +309,7 @@
     world simulated{quiet_options()};
     simulated.start();
     for (const auto& endpoint : simulated.endpoints) {
-        endpoint->cut_share = endpoint->record.pool == "bookings" ? 1.0 : 0.0;
+        endpoint->cut_answer_share = endpoint->record.pool == "bookings" ? 1.0 : 0.0;
     }
     const std::uint64_t asked = simulated.ask(0, booking("k1", "m1"));
     simulated.run_for(seconds(3));
@@ -317,7 +317,7 @@
     const std::uint64_t again = simulated.ask(1, booking("k1", "m1"));
     simulated.run_for(seconds(3));
     EXPECT_EQ(kind_of(simulated.reply_to(again)), "outcome_unknown");
-    EXPECT_EQ(simulated.runs_of("m1"), 1);
+    EXPECT_EQ(simulated.run_count("m1"), 1);
 }
 
 // The platform is dark and a keyed booking comes: without the claim it could run twice over two entries.
@@ -328,13 +328,13 @@
     const std::uint64_t refused = simulated.ask(0, booking("k1", "m1"));
     simulated.run_for(seconds(15));
     EXPECT_EQ(ran_of(simulated.reply_to(refused)), "no");
-    EXPECT_EQ(simulated.runs_of("m1"), 0);
+    EXPECT_EQ(simulated.run_count("m1"), 0);
     simulated.platform->faults = {};
     simulated.run_for(seconds(10));
     const std::uint64_t again = simulated.ask(1, booking("k1", "m1"));
     simulated.run_for(seconds(3));
     EXPECT_EQ(kind_of(simulated.reply_to(again)), "answered");
-    EXPECT_EQ(simulated.runs_of("m1"), 1);
+    EXPECT_EQ(simulated.run_count("m1"), 1);
 }
 
 // The platform goes dark, answers are billed into the stewards' memory, and a steward dies before it could
@@ -401,7 +401,7 @@
     simulated.run_for(seconds(9));
     ASSERT_NE(simulated.reply_to(asked), nullptr);
     EXPECT_EQ(simulated.reply_to(asked)->version, "cheap@1");
-    EXPECT_EQ(simulated.report().restarts_of_streams, 1U);
+    EXPECT_EQ(simulated.report().stream_restarts, 1U);
     simulated.quiesce();
     simulated.check_final();
     EXPECT_EQ(simulated.report().billed, 1U);
@@ -472,7 +472,7 @@
     fake_endpoint& engine = *simulated.endpoints[0];
     engine.order({"", "", "load", "costly@1", 50});
     engine.order({"", "", "unload", "costly@1", 49});
-    EXPECT_EQ(engine.fenced, 1U);
+    EXPECT_EQ(engine.fenced_orders, 1U);
     EXPECT_EQ(engine.loaded.count("costly@1"), 1U);
 }
 
@@ -491,7 +491,7 @@
     const std::uint64_t later = simulated.ask(0, question());
     simulated.run_for(seconds(1));
     EXPECT_EQ(kind_of(simulated.reply_to(later)), "answered");
-    EXPECT_GT(simulated.entry_numbers(0).counter("ratings_skipped"), 0U);
+    EXPECT_GT(simulated.entry_metrics(0).counter("ratings_skipped"), 0U);
 }
 
 // A hall loses power: an entry, a steward and a quarter of the engines are gone at once, while the platform
@@ -535,7 +535,7 @@
     world simulated{options};
     simulated.start();
     for (const auto& endpoint : simulated.endpoints) {
-        endpoint->deadly_marker = "deadly";
+        endpoint->crash_marker = "deadly";
     }
     for (int asked = 0; asked < 3; ++asked) {
         operation wish = question();
@@ -625,8 +625,8 @@
     request.team_key = "no such key";
     simulated.entry(0)->on_request(request, simulated.clock.now());
     EXPECT_EQ(simulated.entry(0)->open_requests(), 0U);
-    EXPECT_EQ(simulated.entry_numbers(0).counter("refused_unauthorized"), 1U);
-    EXPECT_EQ(simulated.entry_numbers(0).counter("dispatches"), 0U);
+    EXPECT_EQ(simulated.entry_metrics(0).counter("refused_unauthorized"), 1U);
+    EXPECT_EQ(simulated.entry_metrics(0).counter("dispatches"), 0U);
 }
 
 } // namespace laurelhoist
--- a/test/simulation_test.cpp
+++ b/test/simulation_test.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-class random_run : public ::testing::TestWithParam<std::uint64_t> {
+class random_disturbance_run : public ::testing::TestWithParam<std::uint64_t> {
 protected:
     void SetUp() override {
         quiet_log();
@@ -26,7 +26,7 @@
     simulated.start();
     for (int i = 0; i < 10; ++i) {
         simulated.run_for(milliseconds(700));
-        simulated.disturb();
+        simulated.inject_disturbance();
     }
     const world_report& report = simulated.report();
     return std::to_string(simulated.clock.events_run()) + "/" + std::to_string(report.whole) + "/" +
@@ -35,7 +35,7 @@
 
 } // namespace
 
-TEST_P(random_run, keeps_every_promise) {
+TEST_P(random_disturbance_run, invariants_hold_under_random_disturbances) {
     const std::uint64_t seed = GetParam();
     SCOPED_TRACE("seed " + std::to_string(seed));
     world_options options = options_for(seed % 2 == 0 ? "brazda" : "consorzio");
@@ -46,7 +46,7 @@
     simulated.start();
     for (int i = 0; i < 40; ++i) {
         simulated.run_for(milliseconds(900));
-        simulated.disturb();
+        simulated.inject_disturbance();
     }
     simulated.quiesce();
     simulated.check_final();
@@ -55,11 +55,12 @@
     EXPECT_EQ(simulated.report().lost, 0U);
 }
 
-INSTANTIATE_TEST_SUITE_P(fixed_seeds, random_run, ::testing::Values(3, 11, 42, 1010, 2003, 4003, 5001, 5017));
+INSTANTIATE_TEST_SUITE_P(fixed_seeds, random_disturbance_run,
+                         ::testing::Values(3, 11, 42, 1010, 2003, 4003, 5001, 5017));
 
 // RapidCheck chooses which disturbances follow which load, and shrinks the list to the shortest that breaks
 // an invariant.
-RC_GTEST_PROP(disturbances, any_short_sequence_keeps_every_promise, ()) {
+RC_GTEST_PROP(disturbances, invariants_hold_after_any_short_sequence, ()) {
     quiet_log();
     invariant_registry::instance().throw_on_failure(true);
     const auto seed = *rc::gen::inRange<std::uint64_t>(1, 1000000);
@@ -71,7 +72,7 @@
     simulated.start();
     for (std::size_t i = 0; i < std::min<std::size_t>(gaps.size(), 12); ++i) {
         simulated.run_for(milliseconds(gaps[i]));
-        simulated.disturb();
+        simulated.inject_disturbance();
     }
     simulated.quiesce();
     simulated.check_final();
@@ -84,7 +85,7 @@
 }
 
 // A guard that is switched off must be noticed; a check that cannot fail proves nothing.
-TEST(simulation, a_missing_guard_is_noticed) {
+TEST(simulation, a_disabled_freshness_check_violates_an_invariant) {
     quiet_log();
     invariant_registry::instance().throw_on_failure(true);
     world_options options;
@@ -95,11 +96,11 @@
     simulated.isolate("entry-0", seconds(30));
     simulated.withdraw("cheap@1");
     simulated.run_for(freshness_limit + seconds(2));
-    operation wish;
-    wish.difficulty = 0.1;
+    operation op;
+    op.difficulty = 0.1;
     EXPECT_THROW(
         {
-            simulated.ask(0, wish);
+            simulated.ask(0, op);
             simulated.run_for(seconds(2));
         },
         invariant_failure);
@@ -108,13 +109,13 @@
 
 class trace_replay : public ::testing::TestWithParam<const char*> {};
 
-TEST_P(trace_replay, comes_to_its_stated_outcome) {
+TEST_P(trace_replay, reaches_its_expected_outcome) {
     quiet_log();
     invariant_registry::instance().throw_on_failure(true);
     const outcome<trace> recorded = read_trace(std::string(LAUREL_SOURCE_DIR "/traces/") + GetParam());
     ASSERT_NE(value_of(recorded), nullptr) << error_of(recorded)->message;
     const replay_result result = replay(*value_of(recorded), {});
-    EXPECT_TRUE(result.misses.empty()) << json(result.misses).dump(2);
+    EXPECT_TRUE(result.unmet_outcomes.empty()) << json(result.unmet_outcomes).dump(2);
     invariant_registry::instance().throw_on_failure(false);
 }
 
--- a/test/standin_test.cpp
+++ b/test/standin_test.cpp
@@ -37,7 +37,7 @@
 
 } // namespace
 
-TEST_F(standins, the_store_updates_on_condition_only) {
+TEST_F(standins, the_store_rejects_a_write_whose_condition_fails) {
     const object_store store(loop, {"127.0.0.1", port});
     EXPECT_EQ(ask("GET", "/objects/a").status, 404);
     EXPECT_EQ(ask("PUT", "/objects/a", "1", {{"If-None-Match", "*"}}).status, 200);
@@ -56,7 +56,7 @@
     EXPECT_EQ(ask("GET", "/watch/a?since=2&wait_ms=20").status, 404);
 }
 
-TEST_F(standins, a_lost_answer_has_taken_effect) {
+TEST_F(standins, a_write_with_a_lost_answer_takes_effect) {
     object_store store(loop, {"127.0.0.1", port});
     store.set_faults({false, 0, 1.0});
     EXPECT_EQ(ask("PUT", "/objects/a", "1", {{"If-None-Match", "*"}}).what, http_answer::result::failed);
@@ -65,7 +65,7 @@
     EXPECT_EQ(ask("GET", "/objects/a").status, 503);
 }
 
-TEST_F(standins, an_engine_loads_serves_and_checks_the_fence) {
+TEST_F(standins, an_engine_loads_serves_and_rejects_old_fencing_numbers) {
     weight_store weights(loop);
     engine_settings settings{"e", "pool", 2, true, {{"m@1", {0.9, 1, 1, 10}}}, {}};
     stand_in_engine engine(loop, {"127.0.0.1", port}, settings, weights);
@@ -78,7 +78,8 @@
     const http_answer answer = ask("POST", "/v1/chat/completions", body, {{"X-Request-Id", "r1"}});
     EXPECT_EQ(answer.header("x-served-version"), "m@1");
     EXPECT_EQ(answer.header("x-request-id"), "r1");
-    EXPECT_GE(score_in(json::parse(answer.body)["choices"][0]["message"]["content"].get<std::string>()), 0.0);
+    EXPECT_GE(parse_score(json::parse(answer.body)["choices"][0]["message"]["content"].get<std::string>()),
+              0.0);
     const http_answer rest =
         ask("POST", "/v1/chat/completions",
             R"({"model":"m@1","messages":[{"content":"x"}],"max_tokens":3,"stream":true})",
