--- a/src/simulation/fake_endpoint.cpp
+++ b/src/simulation/fake_endpoint.cpp
@@ -120,7 +120,7 @@
     return slow_factor * (is_hit ? full * cached_prefix_time_factor : full);
 }
 
-// All that runs or waits here breaks off with the process.
+// Every running and queued call fails when the process ends.
 void fake_endpoint::end_process() {
     is_dead = true;
     running_ = 0;
@@ -207,7 +207,7 @@
 
 void fake_endpoint::end(const shared_job& work, bool with_answer) {
     if (jobs_.erase(work->call.call_id) == 0) {
-        return; // It ended with the process.
+        return; // The call failed when the process ended.
     }
     --running_;
     record_load_sample();
--- a/src/simulation/fake_endpoint.h
+++ b/src/simulation/fake_endpoint.h
@@ -1,6 +1,6 @@
 /** \file
- * Defines the fake of an endpoint (a model engine or a plain service) under the virtual clock: slots, a
- * queue, a prefix cache, load reports with a lag, orders, and faults.
+ * Defines a fake endpoint (a model engine or a plain service) under the virtual clock. It models slots, a
+ * queue, a prefix cache, delayed load reports, load and unload orders, and faults.
  */
 #pragma once
 
@@ -12,15 +12,15 @@
 
 namespace laurelhoist {
 
-/** How a version behaves. */
+/** The answer quality and the speed of a model version. */
 struct version_behaviour {
-    double skill = 0.9; ///< requests whose difficulty is below this are answered well
+    double skill = 0.9; ///< requests of a lower difficulty get a good answer
     double first_token_ms = 100;
     double token_ms = 5;
-    double noise = 0.02; ///< chance that a good answer comes out bad
+    double noise = 0.02; ///< probability that a request within the skill gets a bad answer
 };
 
-/** What an endpoint has done with a call; the world checks it. */
+/** Callbacks through which the world observes the calls that an endpoint runs. */
 struct endpoint_observer {
     std::function<void(const endpoint_call&, const endpoint_record&)> on_begin;
 };
@@ -43,17 +43,17 @@
     std::set<version_name> loaded;
     endpoint_observer observer;
     bool checks_fence = true;
-    bool is_dead = false;     ///< refuses connections
-    std::string crash_marker; ///< of requests that end this endpoint when it begins to run them; empty: none
-    bool is_silent = false;   ///< takes calls and gives no answer
-    bool is_leaving = false;  ///< refuses new work, saying so
-    endpoint_statement says;  ///< with each answer; of one that asks for rest, each is a refusal
-    std::vector<time_point> arrivals; ///< of calls
+    bool is_dead = false;     ///< the process is down and refuses connections
+    std::string crash_marker; ///< marker of the requests that crash this endpoint; empty: none
+    bool is_silent = false;   ///< accepts calls but never answers
+    bool is_leaving = false;  ///< refuses new calls and names the reason
+    endpoint_statement says;  ///< sent with each answer; while it asks for a back-off, every call is refused
+    std::vector<time_point> arrivals; ///< arrival time of each call that finds the process up
     bool names_wrong_version = false;
-    bool mixes_answers = false; ///< gives some calls the answer of another
+    bool mixes_answers = false; ///< answers some calls with another request's answer
     double slow_factor = 1.0;
-    double duplicate_part_share = 0.0; ///< share of a stream's parts that come twice
-    double cut_answer_share = 0.0;     ///< of the answers whose connection breaks after the work is done
+    double duplicate_part_share = 0.0; ///< share of a stream's parts that are sent twice
+    double cut_answer_share = 0.0;     ///< share of answers whose connection breaks after the call has run
     duration report_lag = milliseconds(0);
     duration load_time = seconds(2);
     std::uint64_t prefix_hits = 0;
--- a/src/simulation/fake_platform.cpp
+++ b/src/simulation/fake_platform.cpp
@@ -47,7 +47,7 @@
     return reply;
 }
 
-void fake_platform::write(const platform_request& request, const answer& on_answer) {
+void fake_platform::write(const platform_request& request, const reply_handler& on_answer) {
     ++writes;
     platform_reply unknown;
     unknown.operation = request.operation;
@@ -67,7 +67,7 @@
     clock_.after(faults.delay, [on_answer, reply] { on_answer(reply); });
 }
 
-void fake_platform::call(const platform_request& request, answer on_answer) {
+void fake_platform::call(const platform_request& request, reply_handler on_answer) {
     clock_.after(faults.delay, [this, request, on_answer = std::move(on_answer)] {
         platform_reply reply;
         reply.operation = request.operation;
--- a/src/simulation/fake_platform.h
+++ b/src/simulation/fake_platform.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines the fake of the platform's object API under the virtual clock.
+ * Defines a fake of the platform's object API under the virtual clock.
  */
 #pragma once
 
@@ -8,21 +8,23 @@
 
 namespace laurelhoist {
 
-/** What is wrong with the platform at the moment. */
+/** The faults that the platform shows. */
 struct platform_faults {
     bool is_down = false;
     duration delay = milliseconds(3);
     double lost_answers = 0.0; ///< share of writes that take effect but get no answer
-    double late_writes = 0.0;  ///< share of writes that take effect seconds later, after the caller gave up
+    /// Share of writes that take effect late, by 4 s on average. After 2 s the caller is told that the result
+    /// is unknown.
+    double late_writes = 0.0;
 };
 
 class fake_platform {
 public:
-    using answer = std::function<void(const platform_reply&)>;
+    using reply_handler = std::function<void(const platform_reply&)>;
 
     fake_platform(virtual_clock& clock, std::uint64_t seed) : clock_{clock}, random_{seed} {}
 
-    void call(const platform_request& request, answer on_answer);
+    void call(const platform_request& request, reply_handler on_answer);
     void put(const std::string& key, const json& value) { objects_[key] = {key, ++version_, value}; }
     /** \return the object under \p key, or null. */
     const platform_object* find(const std::string& key) const;
@@ -34,7 +36,7 @@
 
 private:
     platform_reply apply(const platform_request& request);
-    void write(const platform_request& request, const answer& on_answer);
+    void write(const platform_request& request, const reply_handler& on_answer);
 
     virtual_clock& clock_;
     random_source random_;
--- a/src/simulation/nodes.cpp
+++ b/src/simulation/nodes.cpp
@@ -26,7 +26,7 @@
         .first->second;
 }
 
-// ---- what nodes have in common ----
+// ---- the base of all nodes ----
 
 void simulated_node::begin_incarnation() {
     ++incarnation_number_;
@@ -108,7 +108,7 @@
     calls_[call.call_id] = {target, world_.clock.now(), call.timeout, call.stream};
     check_call_timeout(call.call_id);
     if (target == world_.endpoints.size() || !world_.can_reach(name_, call.endpoint.name)) {
-        // A new connection to a host that cannot be reached is refused by the client's own time limit.
+        // A connection attempt to an unreachable endpoint times out after 1 s; nothing has been sent.
         endpoint_answer not_sent;
         not_sent.result = call_result::refused_not_run;
         world_.clock.after(seconds(1), [this, id = call.call_id, not_sent] { deliver_answer(id, not_sent); });
@@ -263,12 +263,13 @@
 void steward_node::call_platform(const platform_request& request) {
     const int number = incarnation_number_;
     if (!world_.can_reach(name_, platform_name)) {
-        platform_reply dark;
-        dark.operation = request.operation;
-        dark.what = platform_reply::result::unavailable;
-        world_.clock.after(seconds(1), [this, dark, number] {
+        platform_reply unavailable;
+        unavailable.operation = request.operation;
+        unavailable.what = platform_reply::result::unavailable;
+        world_.clock.after(seconds(1), [this, unavailable, number] {
             if (number == incarnation_number_) {
-                run_in_incarnation([this, dark] { core->on_platform_reply(dark, local_now()); });
+                run_in_incarnation(
+                    [this, unavailable] { core->on_platform_reply(unavailable, local_now()); });
             }
         });
         return;
--- a/src/simulation/nodes.h
+++ b/src/simulation/nodes.h
@@ -1,6 +1,6 @@
 /** \file
- * Defines how an entry and a steward live in the world: they are killed, paused, restarted with their
- * memory lost, and see the world's clock with a skew of their own.
+ * Defines the simulated entries and stewards. They can be killed, paused and restarted without their memory,
+ * and each sees the virtual clock with a skew of its own.
  */
 #pragma once
 
@@ -8,7 +8,7 @@
 
 namespace laurelhoist {
 
-/** What nodes have in common. */
+/** The base of the simulated nodes: name, failure domain, incarnation, pauses and clock skew. */
 class simulated_node {
 public:
     simulated_node(world& owner, std::string name, std::string domain, duration skew)
@@ -23,7 +23,8 @@
     void pause(duration span) { paused_until_ = std::max(paused_until_, world_.clock.now() + span); }
     void resume() { paused_until_ = world_.clock.now(); }
 
-    /** Runs \p work as an event of this incarnation: when the pause is over, never after a crash. */
+    /** Runs \p work at once, or when the current pause ends. Drops it if the node is down or is killed
+     * before then. */
     void run_in_incarnation(std::function<void()> work);
 
 protected:
@@ -57,7 +58,7 @@
 
     std::unique_ptr<entry_core> core;
     metrics node_metrics;
-    std::map<std::string, std::size_t> links; ///< steward incarnation -> index
+    std::map<std::string, std::size_t> links; ///< steward incarnation -> index of the steward
     std::map<std::string, time_point> link_cut_since;
 
 private:
@@ -91,11 +92,12 @@
 
     std::unique_ptr<steward_core> core;
     metrics node_metrics;
-    std::map<std::string, std::size_t> peers; ///< incarnation -> index
+    std::map<std::string, std::size_t> peers; ///< steward incarnation -> index of the steward
     std::map<std::string, std::size_t> entries;
 };
 
-/** \return the charts of the source tree or of LAUREL_CHARTS; ends the process if they are bad. */
+/** \return the chart \p name from the directory in LAUREL_CHARTS or, if that is not set, from the source
+ * tree. Each chart is loaded once. An invalid chart ends the process. */
 const chart& cached_chart(const std::string& name);
 
 } // namespace laurelhoist
--- a/src/simulation/replay.cpp
+++ b/src/simulation/replay.cpp
@@ -14,16 +14,16 @@
 void check_outcome(replay_result& result, const trace_outcome& wanted) {
     const world_report& report = result.report;
     const auto add_unmet = [&result](const std::string& what, double got, double bound) {
-        result.unmet_outcomes.push_back(what + ": " + std::to_string(got) + ", stated " +
+        result.unmet_outcomes.push_back(what + ": " + std::to_string(got) + ", expected " +
                                         std::to_string(bound));
     };
     const double whole_share =
         static_cast<double>(report.whole) / static_cast<double>(std::max<std::uint64_t>(1, report.asked));
     if (whole_share < wanted.least_whole_share) {
-        add_unmet("share of whole answers", whole_share, wanted.least_whole_share);
+        add_unmet("share of complete answers", whole_share, wanted.least_whole_share);
     }
     if (static_cast<std::int64_t>(report.doubled_calls) > wanted.most_doubled) {
-        add_unmet("doubled calls", static_cast<double>(report.doubled_calls),
+        add_unmet("calls that ran twice", static_cast<double>(report.doubled_calls),
                   static_cast<double>(wanted.most_doubled));
     }
     if (static_cast<std::int64_t>(report.unbilled) > wanted.most_unbilled) {
@@ -36,13 +36,13 @@
                   static_cast<double>(wanted.most_bad_answers));
     }
     if (wanted.least_quality_share >= 0 && result.quality_share < wanted.least_quality_share) {
-        add_unmet("share at the score", result.quality_share, wanted.least_quality_share);
+        add_unmet("share of good answers", result.quality_share, wanted.least_quality_share);
     }
     if (wanted.most_p95_ms >= 0 && result.p95_ms > wanted.most_p95_ms) {
         add_unmet("p95 in ms", result.p95_ms, wanted.most_p95_ms);
     }
     if (!wanted.final_bundle.empty() && result.established != wanted.final_bundle) {
-        result.unmet_outcomes.push_back("established: " + result.established + ", stated " +
+        result.unmet_outcomes.push_back("established: " + result.established + ", expected " +
                                         wanted.final_bundle);
     }
 }
--- a/src/simulation/replay.h
+++ b/src/simulation/replay.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines the replay of a recorded trace against its stated outcome.
+ * Defines the replay of a recorded trace and the comparison with its expected outcome.
  */
 #pragma once
 
@@ -12,11 +12,11 @@
     double p95_ms = 0;
     double quality_share = 0;
     std::string established;
-    std::vector<std::string> unmet_outcomes; ///< outcomes that were not reached; empty: all were
+    std::vector<std::string> unmet_outcomes; ///< outcomes that were missed, each with value and bound
 };
 
-/** Plays \p recorded in a world of its site's sizes and compares what comes out with what must.
- * \param policies what to decide by, to compare policies on the same trace */
+/** Replays \p recorded in a world of the size of its site and compares the result with the expected outcome.
+ * \param policies policies of the entries, so that policies can be compared on the same trace */
 replay_result replay(const trace& recorded, const entry_policies& policies);
 
 } // namespace laurelhoist
--- a/src/simulation/simulation.h
+++ b/src/simulation/simulation.h
@@ -1,7 +1,7 @@
 /** \file
- * The one public header of the simulation library: several entries and stewards in one process under a
- * virtual clock, with small fakes at their interfaces and seeded faults. The long random runs, the replay
- * of traces and the experiments of laurel-bench all use it.
+ * The only public header of the simulation library. It runs several entries and stewards in one process under
+ * a virtual clock, with fakes at their interfaces and seeded faults. The random runs, the trace replay and
+ * the experiments of laurel-bench use it.
  */
 #pragma once
 
--- a/src/simulation/virtual_clock.h
+++ b/src/simulation/virtual_clock.h
@@ -1,5 +1,6 @@
 /** \file
- * Defines the virtual clock: events in the order of their time, and of their making among equals.
+ * Defines the virtual clock. It runs events in order of time; events of equal time run in the order in which
+ * they were scheduled.
  */
 #pragma once
 
--- a/src/simulation/world.cpp
+++ b/src/simulation/world.cpp
@@ -82,7 +82,8 @@
 
 void world::publish_hosts() {
     if (platform->faults.is_down) {
-        // What nobody can read nobody can know; the endpoint itself still refuses, truly not run.
+        // While the platform is down no node can read the host list, so the time that nodes have to stop
+        // using a leaving endpoint starts anew. The endpoint itself still refuses calls without running them.
         for (auto& [name, since] : leaving_since_) {
             since = clock.now();
         }
@@ -122,7 +123,7 @@
                         static_cast<int>(options_.costly.first_token_ms),
                         static_cast<int>(options_.costly.token_ms)}};
     if (cheap_version > 1) {
-        // Sessions may stay on the version before.
+        // Sessions may stay on the previous version.
         model_entry before = document.models.front();
         before.version = std::to_string(cheap_version - 1);
         document.models.push_back(before);
--- a/src/simulation/world.h
+++ b/src/simulation/world.h
@@ -1,6 +1,6 @@
 /** \file
- * Defines the world of a long random run: nodes, network, fakes, callers and operators under one virtual
- * clock, with what an all-knowing observer checks beside the invariants in the program.
+ * Defines the world of a simulation run: nodes, network, fakes, callers and operators under one virtual
+ * clock. Besides the invariants in the program it checks properties that need a view of all nodes.
  */
 #pragma once
 
@@ -19,21 +19,21 @@
     std::size_t entries = 3;
     std::size_t stewards = 3;
     std::vector<std::string> domains{"osk-hall1", "osk-hall2", "vuk-hall1", "sb-hall1"};
-    duration domain_latency = std::chrono::microseconds(1500); ///< one way between nodes
+    duration domain_latency = std::chrono::microseconds(1500); ///< one-way latency between nodes
     int engines = 18;
     int services = 4;
     int slots = 8;
     int teams = 10;
     double requests_per_second = 60;
-    double flood_factor = 1.0; ///< load of team 0 beside the others
+    double flood_factor = 1.0; ///< load of team 0 relative to that of each other team
     double stream_share = 0.2;
     double service_share = 0.2;
     std::size_t sessions_per_team = 12;
-    double session_length = 25; ///< mean number of requests before a new session takes its place
+    double session_length = 25; ///< mean number of requests before a new session replaces a session
     int latency_budget_ms = 10000;
     bool rates_answers = true;
     int bake_ms = 3000;
-    std::vector<rollout_step> steps; ///< empty: 10, 50, 100 percent
+    std::vector<rollout_step> steps; ///< steps of a rollout; empty: 10, 50 and 100 percent
     duration report_lag = milliseconds(0);
     version_behaviour cheap{0.8, 60, 4, 0.02};
     version_behaviour costly{0.99, 150, 6, 0.01};
@@ -47,7 +47,7 @@
 /** \return options with the sizes of "brazda" or "consorzio". */
 world_options options_for(const std::string& site);
 
-/** One thing that a caller wants done; it may take several calls. */
+/** One request of a caller, with all its tries. */
 struct operation {
     std::uint64_t id = 0;
     int team = 0;
@@ -57,7 +57,7 @@
     bool is_idempotent = true;
     bool stream = false;
     std::string service_path;
-    std::string key; ///< idempotency key, may be empty
+    std::string key; ///< idempotency key; empty: none
     std::string marker;
     std::string kind;
     double difficulty = 0;
@@ -66,34 +66,34 @@
     int tries = 0;
     std::size_t entry = 0;
     std::string entry_incarnation;
-    std::string text; ///< of a stream
+    std::string text; ///< text of the stream received so far
     bool has_first = false;
     int parts = 0;
 };
 
-/** What came of a run. */
+/** The counts and samples of a run. */
 struct world_report {
     std::uint64_t asked = 0;
     std::uint64_t whole = 0;
-    std::uint64_t refused = 0; ///< told "not run", after all tries
-    std::uint64_t failed = 0;  ///< told that it may have run
-    std::uint64_t lost = 0;    ///< got no final answer at all
+    std::uint64_t refused = 0; ///< operations given up as not run, after all tries
+    std::uint64_t failed = 0;  ///< operations that ended in an error and may have run
+    std::uint64_t lost = 0;    ///< operations without a final answer at the end of the run
     std::uint64_t service_calls = 0;
     std::uint64_t doubled_calls = 0;
     std::uint64_t unbilled = 0;
     std::uint64_t billed = 0;
-    std::uint64_t bad_version_answers = 0;  ///< below the score, from a version that is bad
-    std::uint64_t bad_version_released = 0; ///< all answers released from a version that is bad
-    std::uint64_t good_model_answers = 0;   ///< model answers at the score
+    std::uint64_t bad_version_answers = 0;  ///< answers below the good score from a bad version
+    std::uint64_t bad_version_released = 0; ///< all answers released from a bad version
+    std::uint64_t good_model_answers = 0;   ///< model answers that reach the good score
     std::uint64_t model_answers = 0;
     std::int64_t cost_micro = 0;
-    double oracle_cost = 0; ///< had the cheapest version that answers well been known beforehand
+    double oracle_cost = 0; ///< cost if each request went to the cheapest model that answers it well
     std::uint64_t commands_accepted = 0;
     std::uint64_t stream_restarts = 0;
     std::vector<double> latency_ms;
     std::vector<double> first_token_ms;
     std::map<int, std::vector<double>> latency_by_team;
-    std::vector<double> in_force_ms; ///< from accepted to in force on all running entries
+    std::vector<double> in_force_ms; ///< time from acceptance of a change until all running entries have it
 };
 
 class world {
@@ -103,28 +103,30 @@
     world(const world&) = delete;
     world& operator=(const world&) = delete;
 
-    /** Starts all nodes and puts the first bundle in force. */
+    /** Starts all nodes, rolls out the first bundle and starts the load. */
     void start();
     void run_for(duration span);
-    /** Turns the callers' load on or off. */
+    /** Sets the callers' random load; 0 stops it. */
     void set_load(double requests_per_second);
-    /** One random fault or operator's command; see world_faults.cpp. */
+    /** Injects one random fault or operator's command. */
     void inject_disturbance();
-    /** Ends every fault, stops the load and runs until all is answered, billed and in force. */
+    /** Ends the faults, stops the load and runs until every operation is answered and every bill is written,
+     * for two minutes at most, and then for 5 s more. */
     void quiesce();
-    /** Checks, after \ref quiesce, what must hold of the whole run; breaks invariants otherwise. */
+    /** Checks the invariants of the whole run; to be called after \ref quiesce. */
     void check_final();
 
-    // Faults by name; the random runs, the traces and the focused tests share them.
+    // Named faults, which the random runs, the traces and the focused tests share.
     void kill_entry(std::size_t index, duration down_for);
     void kill_steward(std::size_t index, duration down_for);
     void pause_entry(std::size_t index, duration span);
     void pause_steward(std::size_t index, duration span);
     void stop_entry(std::size_t index, duration down_for);
     void stop_steward(std::size_t index, duration down_for);
-    /** Packets between two nodes vanish without a sign. */
+    /** Drops all messages between two nodes for \p span; neither is told. */
     void cut(const std::string& one, const std::string& other, duration span);
-    /** Cuts \p name off from every other node, and if \p with_platform from the platform too. */
+    /** Cuts \p name off from all entries and stewards or, if \p with_platform, from everything, the platform
+     * and the endpoints included. */
     void isolate(const std::string& name, duration span, bool with_platform = true);
     void lose_domain(const std::string& domain, duration span);
     void apply_event(const trace_event& event);
@@ -132,7 +134,7 @@
     // Operators.
     void command(fleet_command command, const std::optional<bundle>& document = std::nullopt,
                  std::size_t steward = 0);
-    /** Submits, signs off and rolls a bundle whose cheap version has \p skill. \return its version */
+    /** Submits, signs off and rolls out a bundle whose cheap version has \p skill. \return that version */
     version_name roll_bundle(double skill, duration pause_between = milliseconds(600));
     void withdraw(const version_name& version, std::size_t steward = 0);
     bundle make_bundle(int number, int cheap_version) const;
@@ -148,16 +150,16 @@
 
     entry_core* entry(std::size_t index);
     steward_core* steward(std::size_t index);
-    /** \return the time by the clock of the entry \p index, which is skewed. */
+    /** \return the local time of the entry \p index, which includes its clock skew. */
     time_point entry_time(std::size_t index) const;
     const metrics& entry_metrics(std::size_t index) const;
     const world_report& report();
     fleet_head head_in_platform() const;
-    /** Sends one request of \p team to the entry \p index, outside the random load. \return its operation */
+    /** Sends one request to the entry \p index, besides the random load. \return the id of its operation */
     std::uint64_t ask(std::size_t index, const operation& op);
-    /** The same, with \p token as the caller's session. */
+    /** Sends one request to the entry \p index with \p token as the session token. */
     std::uint64_t ask_with_token(std::size_t index, const operation& op, const std::string& token);
-    /** Sends one request to the entry that a caller would choose. */
+    /** Sends one request to an entry chosen as in the random load. */
     std::uint64_t ask_any(const operation& op);
     bool is_open(std::uint64_t operation_id) const { return operations_.count(operation_id) > 0; }
     /** \return the last reply to the operation. */
@@ -179,7 +181,7 @@
     };
     struct cut_pair {
         std::string one;
-        std::string other; ///< empty: everything
+        std::string other; ///< the other node; empty: everything
         time_point until;
     };
     struct accepted_change {
--- a/src/simulation/world_callers.cpp
+++ b/src/simulation/world_callers.cpp
@@ -1,6 +1,6 @@
 /** \file
- * The part of the world that plays the callers: sessions, arrivals, retries with the same key, and the
- * checks that only a caller can make.
+ * Simulates the callers: sessions, arrivals, retries with the same idempotency key, and the checks that only
+ * a caller can make.
  */
 #include "simulation/nodes.h"
 #include "simulation/world.h"
@@ -51,7 +51,7 @@
     op.is_service = random_.chance(options_.service_share);
     op.difficulty = random_.unit();
     op.kind = op.difficulty < 0.5 ? "short" : "long";
-    // A caller's word for the kind says something of the difficulty, not all.
+    // The stated kind predicts the difficulty only in part: a fifth of the requests state the other kind.
     if (random_.chance(0.2)) {
         op.kind = op.kind == "short" ? "long" : "short";
     }
@@ -109,7 +109,8 @@
     return found == runs_by_marker_.end() ? 0 : found->second;
 }
 
-// A caller asks any entry that answers which to use, and takes the first it can reach.
+// A caller asks a random running entry for the entries of its session and takes the first that is up. Each
+// try starts one entry further down the list.
 std::optional<std::size_t> world::choose_entry(const operation& op) {
     const session_state& session = sessions_[static_cast<std::size_t>(op.team)][op.session];
     const std::size_t first = random_.below(entries_.size());
@@ -173,10 +174,10 @@
     clock.after(client_latency, [this, id, request, &entry, incarnation = entry.incarnation()] {
         const auto asked = operations_.find(id);
         if (asked == operations_.end() || asked->second.entry_incarnation != incarnation) {
-            return; // The entry was lost meanwhile and another has been asked.
+            return; // The entry was lost and the operation was sent to another.
         }
         if (!entry.is_up() || entry.incarnation() != incarnation) {
-            retry_later(id, milliseconds(50)); // The connection is refused: nothing was sent.
+            retry_later(id, milliseconds(50)); // The connection is refused: the request was not sent.
             return;
         }
         entry.run_in_incarnation([&entry, request] { entry.core->on_request(request, entry.local_now()); });
@@ -198,7 +199,8 @@
     });
 }
 
-// The connection breaks. Whether the call ran is not known; a caller repeats only what it may.
+// The connection breaks and the caller does not know whether the call ran. It retries only idempotent calls
+// and calls with an idempotency key.
 void world::on_entry_lost(const std::string& incarnation) {
     std::vector<std::uint64_t> lost;
     for (const auto& [id, op] : operations_) {
@@ -313,10 +315,12 @@
     if (held != session.version_by_model.end() && held->second != reply.version && entry.is_up() &&
         !session.token.empty()) {
         const bool was_allowed = entry.core->view().is_allowed(team_name(done.team), held->second);
-        // Two requests of one session may be under way while its version is stopped: the earlier answer,
-        // with the token that the caller has replaced meanwhile, says nothing about the later.
+        // Two requests of a session may be in flight while its version is stopped. A request that began
+        // before the session last changed its version used a token that the caller has since replaced, so its
+        // reply may name another version.
         const bool is_overtaken = done.began < session_changed_[session.id];
-        const bool is_told = reply.moved_from == held->second; // Not allowed when the request was admitted.
+        // The reply says that the pinned version was not allowed when the request was admitted.
+        const bool is_told = reply.moved_from == held->second;
         invariant("session_keeps_version", !was_allowed || is_overtaken || is_told, [&] {
             return json{{"session", session.id},
                         {"from", held->second},
@@ -335,8 +339,8 @@
     if (held == session.version_by_model.end() || held->second != reply.version) {
         session_changed_[session.id] = clock.now();
     }
-    // The token pins the whole ladder: a session that was moved while a costlier model answered has its new
-    // cheap version in the token already.
+    // The token pins a version of each model of the ladder: if a session is moved while a costlier model
+    // answers, its token already holds the new cheap version.
     const session_pins pins = read_session(reply.session, team_name(done.team), session_key, "");
     for (const auto& [pinned_model, version] : pins.version_by_model) {
         session.version_by_model[pinned_model] = pinned_model + "@" + version;
--- a/src/simulation/world_checks.cpp
+++ b/src/simulation/world_checks.cpp
@@ -1,6 +1,5 @@
 /** \file
- * The part of the world that sees everything: it checks, beside the invariants in the program, what no
- * single node can know.
+ * The checks that need a view of all nodes, besides the invariants in the program.
  */
 #include "simulation/nodes.h"
 #include "simulation/world.h"
@@ -11,7 +10,7 @@
 
 namespace {
 
-/** What the promise allows beyond the freshness limit: the way of a request that was sent just before. */
+/** Allowance beyond the freshness limit, for a request that was sent just before the limit. */
 constexpr duration in_force_slack = milliseconds(50);
 constexpr duration leaving_grace = seconds(6);
 constexpr duration quiesce_timeout = seconds(120);
--- a/src/simulation/world_faults.cpp
+++ b/src/simulation/world_faults.cpp
@@ -1,5 +1,5 @@
 /** \file
- * The part of the world that breaks things: each fault by name, random ones, and what operators do.
+ * Injects faults, named and random, and issues the operators' commands.
  */
 #include "simulation/nodes.h"
 #include "simulation/world.h"
@@ -51,7 +51,7 @@
 void world::run_when_stopped(Node& node, const std::string& incarnation, std::function<void()> work) {
     clock.after(milliseconds(100), [this, &node, incarnation, work = std::move(work)] {
         if (!node.is_up() || node.incarnation() != incarnation) {
-            return; // Killed on the way.
+            return; // The node was killed before it stopped.
         }
         if (node.core->is_stopped()) {
             work();
@@ -182,7 +182,8 @@
                 return *endpoint;
             }
         }
-        throw std::invalid_argument("there is no endpoint \"" + event.target + "\" in this trace's world");
+        throw std::invalid_argument("endpoint \"" + event.target +
+                                    "\" does not exist in the world of this trace");
     };
     using action = std::function<void()>;
     const std::map<std::string, action> actions{
@@ -205,7 +206,7 @@
     };
     const auto found = actions.find(event.action);
     if (found == actions.end()) {
-        throw std::invalid_argument("a trace cannot do \"" + event.action + "\"; see docs/INTERFACES.md");
+        throw std::invalid_argument("unknown trace action \"" + event.action + "\"; see docs/INTERFACES.md");
     }
     found->second();
 }
@@ -228,8 +229,10 @@
     const auto undo_after = [this](duration span, std::function<void()> undo) {
         clock.after(span, std::move(undo));
     };
-    // A record stands on two stewards and its entry until it is in the platform. Losing all of them is the
-    // one loss that docs/PROMISES.md lists as not covered, so the random runs keep such losses apart.
+    // Until a record is in the platform, two stewards and its entry hold it. Losing all three is the only
+    // loss that docs/PROMISES.md lists as not covered. The random runs avoid it: they kill no node within
+    // ten seconds of another kill, and none after a steward was killed during an outage of the platform,
+    // until the outage ends.
     const bool may_kill_node = clock.now() - last_entry_kill_ > min_kill_spacing &&
                                clock.now() - last_steward_kill_ > min_kill_spacing &&
                                (!platform->faults.is_down || steward_kills_while_platform_down_ == 0);
@@ -302,7 +305,8 @@
         break;
     }
     case 14: {
-        // Leaves for good: first it says so itself, the list follows.
+        // The endpoint leaves: it refuses calls at once, the host list follows after 0.2 s to 2 s, and it is
+        // live again after 70 s.
         fake_endpoint& endpoint = any_endpoint();
         const auto staying =
             std::count_if(endpoints.begin(), endpoints.end(), [&endpoint](const auto& other) {
@@ -356,7 +360,7 @@
         break;
     }
     case 19: {
-        // Racing operators: two changes decided on the same revision, through two stewards.
+        // Concurrent operators: two changes based on the same revision, through randomly chosen stewards.
         const fleet_head head = head_in_platform();
         for (const char* by : {"ana", "bruno"}) {
             fleet_command new_command;
@@ -377,8 +381,8 @@
         break;
     }
     case 21: {
-        // The worst moment: a withdrawal through a steward that its peers cannot hear, and the platform
-        // goes dark as soon as it is written.
+        // The worst case: a withdrawal through a steward that is cut off from its peers, and a platform that
+        // goes down 15 ms after the command, when the withdrawal has just been written.
         const std::size_t isolated = any_steward();
         for (const auto& peer : stewards_) {
             cut(stewards_[isolated]->name(), peer->name(), seconds(12));
--- a/src/standin/engine.cpp
+++ b/src/standin/engine.cpp
@@ -8,7 +8,7 @@
 
 constexpr std::size_t max_cached_prefixes = 64;
 constexpr double cached_prefix_time_factor =
-    0.3; ///< share of the time to the first token that a cached prefix leaves
+    0.3; ///< remaining share of the time to the first token if the prefix is cached
 constexpr std::size_t max_queue_length = 64;
 constexpr int default_tokens = 20;
 constexpr int max_tokens_per_answer = 400;
@@ -19,8 +19,8 @@
 
 } // namespace
 
-void weight_store::load(duration takes, std::function<void()> done) {
-    waiting_.emplace_back(takes, std::move(done));
+void weight_store::load(duration load_time, std::function<void()> done) {
+    waiting_.emplace_back(load_time, std::move(done));
     begin_next();
 }
 
@@ -29,9 +29,9 @@
         return;
     }
     ++running_;
-    const auto [takes, done] = waiting_.front();
+    const auto [load_time, done] = waiting_.front();
     waiting_.pop_front();
-    loop_.after(takes, [this, done = done] {
+    loop_.after(load_time, [this, done = done] {
         --running_;
         done();
         begin_next();
@@ -54,7 +54,7 @@
 void stand_in_engine::on_request(const http_request& request,
                                  const std::shared_ptr<http_responder>& responder) {
     if (faults_.mode == "silent") {
-        return; // Neither answers nor closes, as a connection does that something has lost track of.
+        return; // Neither answers nor closes, like a connection whose state was lost on the way.
     }
     if (request.path == "/admin/status") {
         responder->reply(
--- a/src/standin/engine.h
+++ b/src/standin/engine.h
@@ -1,6 +1,6 @@
 /** \file
- * Defines the stand-in for a model engine: batching slots, a prefix cache, streams that can be resumed and
- * cancelled, orders with fencing numbers, load reports, and faults.
+ * Defines the stand-in for a model engine. It models slots, a prefix cache, streams that can be resumed and
+ * cancelled, load and unload orders with fencing numbers, load reports, and faults.
  */
 #pragma once
 
@@ -18,8 +18,8 @@
     std::string pool;
     int slots = 8;
     bool checks_fence = true;
-    std::map<std::string, version_skill> versions; ///< that the weight store has
-    std::vector<std::string> loaded;               ///< at the start
+    std::map<std::string, version_skill> versions; ///< versions that the weight store holds
+    std::vector<std::string> loaded;               ///< versions loaded at the start
 };
 
 /** The faults that an engine can show. */
@@ -29,11 +29,11 @@
 };
 LAUREL_VALUE_TYPE(engine_faults, mode, slow_factor)
 
-/** The weight store: a limited number of loads at a time, over all engines. */
+/** The weight store: limits the number of concurrent loads of all engines together. */
 class weight_store {
 public:
     explicit weight_store(event_loop& loop) : loop_{loop} {}
-    void load(duration takes, std::function<void()> done);
+    void load(duration load_time, std::function<void()> done);
 
 private:
     static constexpr int max_concurrent_loads = 4;
--- a/src/standin/object_store.h
+++ b/src/standin/object_store.h
@@ -11,8 +11,8 @@
 
 /** The faults that the stand-in can show. */
 struct store_faults {
-    bool down = false;         ///< answers 503, without effect
-    int slow_ms = 0;           ///< delays each answer
+    bool down = false;         ///< answers every request with 503, without effect
+    int slow_ms = 0;           ///< delay before each request is handled
     double lose_answers = 0.0; ///< share of writes that take effect but get no answer
 };
 LAUREL_VALUE_TYPE(store_faults, down, slow_ms, lose_answers)
@@ -22,7 +22,7 @@
     object_store(event_loop& loop, const socket_address& address);
 
     void set_faults(const store_faults& faults) { faults_ = faults; }
-    /** Writes without a condition, as the platform's own objects change. */
+    /** Writes unconditionally, as the platform does with its own objects. */
     void put(const std::string& key, const json& value);
     /** \return every object under \p prefix. */
     json list(const std::string& prefix) const;
--- a/src/standin/plain_service.h
+++ b/src/standin/plain_service.h
@@ -1,6 +1,6 @@
 /** \file
- * Defines the stand-in for a plain service: it does each call, and remembers what it has done, so that a
- * doubled booking can be seen.
+ * Defines the stand-in for a plain service. It runs each call and counts the runs by the call's reference, so
+ * that a call that ran twice can be detected.
  */
 #pragma once
 
@@ -8,12 +8,12 @@
 
 namespace laurelhoist {
 
-/** What all endpoints of all services have done, by the reference in the call's body. */
+/** The number of runs on all endpoints of all services, by the reference in the call's body. */
 using calls_by_reference = std::map<std::string, std::int64_t>;
 
 struct service_faults {
-    std::string
-        mode; ///< "", "silent" (does the call, never answers), "leaving" or "cut" (does it, cuts the answer)
+    /// "", "silent" (runs the call, never answers), "leaving" or "cut" (runs the call, breaks the connection)
+    std::string mode;
 };
 LAUREL_VALUE_TYPE(service_faults, mode)
 
--- a/src/standin/plan.h
+++ b/src/standin/plan.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines the file that tells laurel-standin which stand-ins run where.
+ * Defines the plan of laurel-standin: which stand-ins it runs, and at which addresses.
  */
 #pragma once
 
@@ -16,7 +16,7 @@
     std::string address = "127.0.0.1"; ///< IP number; endpoint i listens on first_port + i
     int first_port = 0;
     int count = 0;
-    std::vector<std::string> domains; ///< taken in turn
+    std::vector<std::string> domains; ///< failure domains, assigned to the endpoints in turn
     int slots = 8;
     bool checks_fence = true;
     std::vector<std::string> loaded;
--- a/src/standin/rater.h
+++ b/src/standin/rater.h
@@ -13,7 +13,7 @@
 };
 LAUREL_VALUE_TYPE(rater_faults, down, slow_ms)
 
-/** Reads the score that a stand-in engine wrote into its answer. */
+/** Rates an answer with the score that a stand-in engine wrote into it. */
 class stand_in_rater {
 public:
     stand_in_rater(event_loop& loop, const socket_address& address);
--- a/src/standin/standin.h
+++ b/src/standin/standin.h
@@ -1,6 +1,6 @@
 /** \file
- * The one public header of the standin library: small stand-ins for the systems that laurelhoist meets,
- * spoken to through their published protocols. For tests and the demo only.
+ * The only public header of the standin library: stand-ins for the systems that laurelhoist uses, reached
+ * over their published protocols. For tests and the demo only.
  */
 #pragma once
 
--- a/test/simulation_test.cpp
+++ b/test/simulation_test.cpp
@@ -1,5 +1,5 @@
 /** \file
- * Random runs of fixed seeds, and replay of the recorded traces against their stated outcomes.
+ * Random simulation runs with fixed seeds, and replays of the recorded traces with their expected outcomes.
  */
 #include "simulation/simulation.h"
 
@@ -35,6 +35,8 @@
 
 } // namespace
 
+// Guards against lost operations, calls that run twice and other broken invariants when random faults and
+// operators' commands overlap under load.
 TEST_P(random_disturbance_run, invariants_hold_under_random_disturbances) {
     const std::uint64_t seed = GetParam();
     SCOPED_TRACE("seed " + std::to_string(seed));
@@ -58,8 +60,8 @@
 INSTANTIATE_TEST_SUITE_P(fixed_seeds, random_disturbance_run,
                          ::testing::Values(3, 11, 42, 1010, 2003, 4003, 5001, 5017));
 
-// RapidCheck chooses which disturbances follow which load, and shrinks the list to the shortest that breaks
-// an invariant.
+// Guards against short sequences of disturbances that break an invariant. RapidCheck chooses the seed and the
+// times between the disturbances, and shrinks a failing sequence.
 RC_GTEST_PROP(disturbances, invariants_hold_after_any_short_sequence, ()) {
     quiet_log();
     invariant_registry::instance().throw_on_failure(true);
@@ -79,12 +81,14 @@
     RC_ASSERT(simulated.report().lost == 0U);
 }
 
+// Guards against runs that cannot be reproduced, because something outside the seed influences them.
 TEST(simulation, the_same_seed_gives_the_same_run) {
     EXPECT_EQ(fingerprint(9), fingerprint(9));
     EXPECT_NE(fingerprint(9), fingerprint(10));
 }
 
-// A guard that is switched off must be noticed; a check that cannot fail proves nothing.
+// Guards against checks that cannot fail: with the freshness check disabled, an isolated entry goes on
+// dispatching after a withdrawal that it has not received, and an invariant must report it.
 TEST(simulation, a_disabled_freshness_check_violates_an_invariant) {
     quiet_log();
     invariant_registry::instance().throw_on_failure(true);
@@ -109,6 +113,7 @@
 
 class trace_replay : public ::testing::TestWithParam<const char*> {};
 
+// Guards against changes of behaviour that miss the outcome stated in the header of a recorded trace.
 TEST_P(trace_replay, reaches_its_expected_outcome) {
     quiet_log();
     invariant_registry::instance().throw_on_failure(true);
--- a/test/soak/platform_soak.py
+++ b/test/soak/platform_soak.py
@@ -1,6 +1,6 @@
 #!/usr/bin/env python3
-"""Fault soak of laurel-platform-entry: real processes on loopback, faults from outside them, promises checked while
-it runs from what callers and endpoints see. One run for each seed; exits 1 if a promise was broken.
+"""Fault soak of laurel-platform-entry: real processes on loopback with faults injected from outside. Checks the
+guarantees from what callers and endpoints observe. One run for each seed; exits 1 if a guarantee was violated.
 
     test/soak/platform_soak.py --program build/release/bin/laurel-platform-entry --seeds 1-50 --seconds 10
 """
@@ -17,19 +17,19 @@
 import tempfile
 import time
 
-from standins import Endpoint, Proxy, Store, receipt_of
-
-REVOKE_S = 5.0         # for how long a withdrawn key may still be honoured
-LEAVING_S = 2.0        # after which a leaving endpoint gets nothing new
-HEARD_S = 3.0          # after which every host knows of a request that ends endpoints
-TRIALS = 3             # of such a request, by all hosts together
-LIMIT_HEARD_S = 3.0    # after which an endpoint's rate limit binds
-LIMIT_PASSED_S = 0.5   # after an answer that names it, for the host that passed it on
-LIMIT_WINDOW_S = 4.0
-REST_HEARD_S = 0.5     # after which an endpoint that asked a host for rest gets hardly anything from it
-REST_REQUESTS = 2
-QUIET_S = 4.0          # a bound in time holds for a host that was undisturbed for so long
-GRACE_S = 8.0          # from SIGTERM to SIGKILL
+from standins import Endpoint, Proxy, Store, response_signature
+
+REVOKE_S = 5.0              # longest time for which a withdrawn key may still be accepted
+LEAVING_S = 2.0             # time after which a leaving endpoint gets no new request
+CRASH_NOTICE_S = 3.0        # time after which every host knows of a request that crashes endpoints
+MAX_TRIALS = 3              # trials of such a request allowed after that, by all hosts together
+LIMIT_NOTICE_S = 3.0        # time after which an endpoint's rate limit must be kept by every host
+LIMIT_ANSWER_S = 0.5        # the same for a host that has forwarded an answer that names the limit
+LIMIT_WINDOW_S = 4.0        # window in which requests are counted against a rate limit
+BACK_OFF_NOTICE_S = 0.5     # time after which a host must keep the back-off that an endpoint asked it for
+MAX_BACK_OFF_REQUESTS = 2   # requests tolerated from a host during a back-off
+UNDISTURBED_S = 4.0         # time bounds are checked only for hosts undisturbed for longer than this
+GRACE_S = 8.0               # time from SIGTERM to SIGKILL
 NOT_RUN = (408, 421, 429, 503)
 
 
@@ -40,12 +40,12 @@
 
 
 class Entry:
-    """One process under test, with the times of what was done to it."""
+    """One process under test, and the time when a fault last disturbed it."""
 
     def __init__(self, number, peers_port, store_port, directory, program):
         self.name, self.program = f"entry-{number}", program
-        # An address of its own, and for peers the same port everywhere: so hosts find one another on a network, and
-        # with one address for all of them none would hear of another.
+        # Each process has an address of its own and the same port for peers, as on a network. With one address for all
+        # of them no host would learn of another.
         self.address, self.seeds = f"127.0.0.{number + 2}", []
         self.ports = {name: free_port() for name in ("callers", "readiness", "directory")}
         self.ports["peers"] = peers_port
@@ -61,36 +61,36 @@
         self.process = asyncio.create_task(self.spawn())
 
     async def spawn(self):
-        self.disturb()
+        self.mark_disturbed()
         self.stopping = False
         self.child = await asyncio.create_subprocess_exec(
             self.program, stdout=self.log, stderr=self.log, env={**os.environ, "LAURELHOIST_BOOT": str(self.path)})
 
-    def disturb(self):
+    def mark_disturbed(self):
         self.disturbed_at = time.monotonic()
 
-    def kill(self, how):
-        self.disturb()
+    def send_signal(self, number):
+        self.mark_disturbed()
         if self.child.returncode is None:
-            self.child.send_signal(how)
+            self.child.send_signal(number)
 
 
 class Run:
-    """One seed: a fleet, its callers, its faults and its checks."""
+    """One run of a seed: a fleet, its callers, the injected faults and the checks."""
 
-    def __init__(self, seed, seconds, program, directory, entries, keeps_faults, checks_time_bounds=True,
-                 sends_deadly=False, names_limits=False, asks_for_rest=False):
-        self.checks_time_bounds, self.sends_deadly = checks_time_bounds, sends_deadly
-        self.names_limits, self.asks_for_rest = names_limits, asks_for_rest
+    def __init__(self, seed, seconds, program, directory, entries, injects_faults, checks_time_bounds=True,
+                 sends_crash_requests=False, names_limits=False, asks_for_back_off=False):
+        self.checks_time_bounds, self.sends_crash_requests = checks_time_bounds, sends_crash_requests
+        self.names_limits, self.asks_for_back_off = names_limits, asks_for_back_off
         self.random = random.Random(seed)
-        self.seed, self.seconds, self.directory, self.keeps_faults = seed, seconds, directory, keeps_faults
+        self.seed, self.seconds, self.directory, self.injects_faults = seed, seconds, directory, injects_faults
         self.program, self.entry_count = program, entries
-        self.runs, self.turned_away, self.broken, self.counts = [], [], [], collections.Counter()
+        self.runs, self.back_off_refusals, self.violations, self.counts = [], [], [], collections.Counter()
         self.refused, self.sent_at, self.keys = {}, {}, {"key-a": None, "key-b": None}
         self.version = 0
-        self.deadly = []  # times and entries of a request that ended an endpoint
+        self.crashes = []  # (arrival time, entry) of each request that crashed an endpoint
 
-    async def play(self):
+    async def execute(self):
         self.store = await Store().listen()
         self.store_proxy = await Proxy(self.store.port).listen()
         self.endpoints, self.proxies = {}, {}
@@ -101,23 +101,23 @@
         await asyncio.sleep(1.5)
         deadline = time.monotonic() + self.seconds
         tasks = [asyncio.create_task(self.call(number, deadline)) for number in range(16)]
-        if self.sends_deadly:
-            tasks.append(asyncio.create_task(self.send_deadly(deadline)))
+        if self.sends_crash_requests:
+            tasks.append(asyncio.create_task(self.send_crash_requests(deadline)))
         if self.names_limits:
             tasks.append(asyncio.create_task(self.limit_endpoints()))
-        if self.asks_for_rest:
-            tasks.append(asyncio.create_task(self.rest_endpoints(deadline)))
-        if self.keeps_faults:
-            tasks.append(asyncio.create_task(self.disturb(deadline)))
+        if self.asks_for_back_off:
+            tasks.append(asyncio.create_task(self.back_off_endpoints(deadline)))
+        if self.injects_faults:
+            tasks.append(asyncio.create_task(self.inject_faults(deadline)))
         await asyncio.gather(*tasks)
         await asyncio.sleep(0.5)
         self.check_runs()
-        self.check_deadly()
+        self.check_crash_requests()
         self.check_limits()
-        self.check_rests()
-        self.check_said_leaving()
+        self.check_back_offs()
+        self.check_announced_leaving()
         await self.stop()
-        return self.broken
+        return self.violations
 
     async def start_entries(self):
         self.entries, peers_port = [], free_port()
@@ -129,11 +129,11 @@
             await entry.process
 
     async def add_endpoint(self, name, service):
-        endpoint = await Endpoint(name, self.runs, self.turned_away, self.random, service == "pool").listen()
+        endpoint = await Endpoint(name, self.runs, self.back_off_refusals, self.random, service == "pool").listen()
         proxy = await Proxy(endpoint.port).listen()
         self.endpoints[name], self.proxies[name] = endpoint, proxy
         endpoint.service = service
-        endpoint.on_deadly = self.end_endpoint
+        endpoint.on_crash_request = self.crash_endpoint
         self.store.put("servers", name, self.registration(endpoint, "ready"))
 
     def registration(self, endpoint, state):
@@ -158,7 +158,7 @@
         self.store.put("config", "main", {"version": self.version, "routes": routes, "services": services,
                                           "limits": {}, "tenants": [{"name": "team", "api_keys": live}]})
 
-    # What callers do and see.
+    # The callers.
 
     async def call(self, number, deadline):
         connection = None
@@ -213,17 +213,17 @@
         await reader.readexactly(2)
         return text
 
-    async def send_deadly(self, deadline):
-        """One caller's request that ends the endpoint that begins to run it; it comes back at any host."""
-        luck, number = random.Random(self.seed), 0
+    async def send_crash_requests(self, deadline):
+        """Sends requests that crash the endpoint that runs them, each through a random host."""
+        rng, number = random.Random(self.seed), 0
         while time.monotonic() < deadline:
-            entry, number = luck.choice(self.entries), number + 1
+            entry, number = rng.choice(self.entries), number + 1
             request_id = f"{self.seed}-deadly-{number}"
             self.sent_at[request_id] = (time.monotonic(), "key-a", "drafts", entry)
-            asyncio.create_task(self.send_one_deadly(entry, request_id))
-            await asyncio.sleep(luck.uniform(0.1, 0.4))
+            asyncio.create_task(self.send_crash_request(entry, request_id))
+            await asyncio.sleep(rng.uniform(0.1, 0.4))
 
-    async def send_one_deadly(self, entry, request_id):
+    async def send_crash_request(self, entry, request_id):
         try:
             reader, writer = await asyncio.open_connection(entry.address, entry.ports["callers"])
             writer.write(f"POST /drafts/1 HTTP/1.1\r\nHost: h.example\r\nX-Request-Id: {request_id}\r\n"
@@ -236,11 +236,11 @@
         except (ConnectionError, OSError, asyncio.TimeoutError):
             self.counts["deadly_unanswered"] += 1
 
-    def end_endpoint(self, endpoint, request_id, arrived_at):
-        self.deadly.append((arrived_at, self.sent_at[request_id][3]))
+    def crash_endpoint(self, endpoint, request_id, arrived_at):
+        self.crashes.append((arrived_at, self.sent_at[request_id][3]))
         if self.endpoints.pop(endpoint.name, None) is not None:
-            endpoint.end()
-            self.proxies.pop(endpoint.name).end()
+            endpoint.crash()
+            self.proxies.pop(endpoint.name).crash()
             asyncio.create_task(self.replace_endpoint(endpoint))
 
     async def replace_endpoint(self, endpoint):
@@ -248,51 +248,53 @@
         self.store.remove("servers", endpoint.name)
         await self.add_endpoint(endpoint.name + "x", endpoint.service)
 
-    # The promises.
+    # The checks of the guarantees.
 
-    def fail(self, promise, detail):
-        self.broken.append(f"{promise}: {detail}")
+    def fail(self, guarantee, detail):
+        self.violations.append(f"{guarantee}: {detail}")
 
     def check_answer(self, request_id, status, headers, text):
         if status != 200:
             return
-        if headers.get("x-response-signature") != receipt_of(request_id, text) or request_id not in text.decode():
-            self.fail("a caller gets the whole answer to its own request", f"{request_id}: {text[:60]!r}")
+        if headers.get("x-response-signature") != response_signature(request_id, text) \
+                or request_id not in text.decode():
+            self.fail("a caller gets the complete answer to its own request", f"{request_id}: {text[:60]!r}")
 
     def check_stream(self, request_id, text):
         events = [event for event in text.decode().split("\n\n") if event]
         count = int(events[-1].rsplit("/", 1)[1]) if events else -1
         expected = [f"id: {number}\ndata: {request_id} {number}/{count}" for number in range(1, count + 1)]
         if events != expected:
-            self.fail("a stream has no gap, no repeat and its end", f"{request_id}: {len(events)} of {count}")
+            self.fail("a stream is complete, without a repeated event", f"{request_id}: {len(events)} of {count}")
 
     def check_runs(self):
         by_id = collections.Counter(run["id"] for run in self.runs)
         for request_id, times in by_id.items():
             if request_id not in self.sent_at:
-                self.fail("only what callers sent runs", request_id)
+                self.fail("only requests sent by callers run", request_id)
                 continue
             sent, key, kind, _ = self.sent_at[request_id]
             if kind == "claims" and times > 1:
                 self.fail("a non-idempotent request runs at most once", f"{request_id} ran {times} times")
             if kind == "claims" and request_id in self.refused:
-                self.fail('"not run" is true', f"{request_id} got {self.refused[request_id]}")
+                self.fail("a request reported as not run has not run", f"{request_id} got {self.refused[request_id]}")
             withdrawn = self.keys[key]
             if withdrawn is not None and sent > withdrawn + REVOKE_S:
-                self.fail("a withdrawn key runs nothing", f"{request_id} {sent - withdrawn:.2f} s later")
+                self.fail("a request with a withdrawn key does not run", f"{request_id} {sent - withdrawn:.2f} s later")
         for run in self.runs:
             headers = run["headers"]
             if headers.get("x-tenant") != "team" or "authorization" in headers:
-                self.fail("teams are set and keys withheld by the entry", run["id"])
+                self.fail("the entry sets the team and removes the key", run["id"])
             self.check_leaving(run)
 
-    def check_deadly(self):
-        if len(self.deadly) < 3 or not self.checks_time_bounds:
+    def check_crash_requests(self):
+        if len(self.crashes) < 3 or not self.checks_time_bounds:
             return
-        known_at = sorted(at for at, _ in self.deadly)[2] + HEARD_S
-        late = [at for at, entry in self.deadly if at > known_at and at > entry.disturbed_at + QUIET_S]
-        if len(late) > TRIALS:
-            self.fail("a request that ends endpoints is not sent on", f"{len(late)} times, {len(self.deadly)} in all")
+        known_at = sorted(at for at, _ in self.crashes)[2] + CRASH_NOTICE_S
+        late = [at for at, entry in self.crashes if at > known_at and at > entry.disturbed_at + UNDISTURBED_S]
+        if len(late) > MAX_TRIALS:
+            self.fail("a request that crashes endpoints is quarantined",
+                      f"{len(late)} times, {len(self.crashes)} in all")
 
     def check_limits(self):
         limited = collections.defaultdict(list)
@@ -300,63 +302,68 @@
             if run["limit"] is not None and run["id"] in self.sent_at:
                 limited[run["endpoint"], run["limited_since"]].append(run)
         for (endpoint, since), runs in limited.items():
-            told, counted = {}, []
+            first_answered_at, counted = {}, []
             for run in runs:
                 if run["answered_at"] is not None:
                     entry = self.sent_at[run["id"]][3]
-                    told[entry] = min(told.get(entry, run["answered_at"]), run["answered_at"])
+                    first_answered_at[entry] = min(first_answered_at.get(entry, run["answered_at"]), run["answered_at"])
             for run in sorted(runs, key=lambda run: run["at"]):
                 entry = self.sent_at[run["id"]][3]
-                bound_since = max(since + LIMIT_HEARD_S, entry.disturbed_at + QUIET_S,
-                                  told.get(entry, run["at"]) + LIMIT_PASSED_S)
+                bound_since = max(since + LIMIT_NOTICE_S, entry.disturbed_at + UNDISTURBED_S,
+                                  first_answered_at.get(entry, run["at"]) + LIMIT_ANSWER_S)
                 if run["at"] >= bound_since:
                     counted = [at for at in counted if at > run["at"] - LIMIT_WINDOW_S] + [run["at"]]
                 if self.checks_time_bounds and len(counted) > 1.5 * run["limit"] * LIMIT_WINDOW_S + 5:
-                    self.fail("a named rate limit is kept", f"{endpoint}: {len(counted)} in 4 s at {run['limit']} a second")
+                    self.fail("the rate limit of an endpoint is kept",
+                              f"{endpoint}: {len(counted)} in 4 s at {run['limit']} a second")
                     break
 
-    def check_rests(self):
+    def check_back_offs(self):
         arrivals = collections.defaultdict(list)
-        for item in self.runs + self.turned_away:
+        for item in self.runs + self.back_off_refusals:
             if item["id"] in self.sent_at:
                 arrivals[item["endpoint"], self.sent_at[item["id"]][3]].append(item["at"])
-        for item in self.turned_away:
+        for item in self.back_off_refusals:
             entry = self.sent_at[item["id"]][3]
             during = [at for at in arrivals[item["endpoint"], entry]
-                      if item["at"] + REST_HEARD_S < at < item["at"] + item["rest"]]
-            is_bound = self.checks_time_bounds and item["at"] > entry.disturbed_at + QUIET_S
-            if is_bound and len(during) > REST_REQUESTS:
-                self.fail("an endpoint gets the rest that it asks for", f"{item['endpoint']}: {len(during)} from {entry.name}")
+                      if item["at"] + BACK_OFF_NOTICE_S < at < item["at"] + item["rest"]]
+            is_bound = self.checks_time_bounds and item["at"] > entry.disturbed_at + UNDISTURBED_S
+            if is_bound and len(during) > MAX_BACK_OFF_REQUESTS:
+                self.fail("the back-off that an endpoint asks for is kept",
+                          f"{item['endpoint']}: {len(during)} from {entry.name}")
                 return
 
-    def check_said_leaving(self):
-        told = {}
+    def check_announced_leaving(self):
+        announcements = {}
         for run in sorted((run for run in self.runs if run["says_leaving"]), key=lambda run: run["at"]):
             if run["id"] not in self.sent_at:
                 continue
             sent, _, _, entry = self.sent_at[run["id"]]
-            told_at = told.get((run["endpoint"], entry))
-            is_bound = self.checks_time_bounds and told_at is not None and told_at > entry.disturbed_at + QUIET_S
-            if is_bound and sent > told_at + LEAVING_S:
-                self.fail("an endpoint that says it leaves gets nothing new", f"{run['id']} {sent - told_at:.2f} s later")
-            if told_at is None and run["answered_at"] is not None:
-                told[run["endpoint"], entry] = run["answered_at"]
+            announced_at = announcements.get((run["endpoint"], entry))
+            is_bound = self.checks_time_bounds and announced_at is not None \
+                and announced_at > entry.disturbed_at + UNDISTURBED_S
+            if is_bound and sent > announced_at + LEAVING_S:
+                self.fail("an endpoint that announces its leaving gets no new request",
+                          f"{run['id']} {sent - announced_at:.2f} s later")
+            if announced_at is None and run["answered_at"] is not None:
+                announcements[run["endpoint"], entry] = run["answered_at"]
 
     def check_leaving(self, run):
         since = run["leaving_since"]
         if since is None or run["id"] not in self.sent_at:
             return
         entry = self.sent_at[run["id"]][3]
-        quiet_since = max(entry.disturbed_at, self.store.steady_since, self.proxied_at)
-        is_bound = self.checks_time_bounds and run["at"] > quiet_since + QUIET_S and since > quiet_since
+        undisturbed_since = max(entry.disturbed_at, self.store.mode_changed_at, self.store_path_restored_at)
+        is_bound = self.checks_time_bounds and run["at"] > undisturbed_since + UNDISTURBED_S \
+            and since > undisturbed_since
         if is_bound and run["at"] > since + LEAVING_S:
-            self.fail("a leaving endpoint gets nothing new", f"{run['id']} {run['at'] - since:.2f} s later")
+            self.fail("a leaving endpoint gets no new request", f"{run['id']} {run['at'] - since:.2f} s later")
 
-    # What goes wrong, in series and overlapping.
+    # The faults, in sequence and overlapping.
 
-    proxied_at = 0.0
+    store_path_restored_at = 0.0
 
-    async def disturb(self, deadline):
+    async def inject_faults(self, deadline):
         faults = [self.fault_endpoint, self.fault_endpoint, self.fault_path, self.fault_store, self.fault_store_path,
                   self.kill_entry, self.pause_entry, self.stop_entry, self.leave, self.withdraw_key,
                   self.change_config, self.change_settings]
@@ -375,22 +382,22 @@
         endpoint.fault = ""
 
     async def limit_endpoints(self):
-        """One endpoint of each service names a limit, and one engine says in its answers that it leaves."""
+        """One endpoint of each service names a rate limit, and one engine announces in its answers that it leaves."""
         await asyncio.sleep(0.5)
         for service in ("claims", "pool"):
             endpoint = next(item for item in self.endpoints.values() if item.service == service)
             leaving = [item for item in self.endpoints.values() if item.service == service][1]
-            leaving.says_leaving_since = time.monotonic() if service == "pool" else None
+            leaving.announced_leaving_at = time.monotonic() if service == "pool" else None
             endpoint.limit, endpoint.limited_since = self.random.choice([0.5, 1.7, 4]), time.monotonic()
 
-    async def rest_endpoints(self, deadline):
-        """Endpoints in turn refuse everything for some seconds and ask for rest."""
+    async def back_off_endpoints(self, deadline):
+        """Randomly chosen endpoints, one at a time, refuse every request for some seconds and ask for a back-off."""
         await asyncio.sleep(4.5)
         while time.monotonic() < deadline - 2:
             endpoint = self.random.choice(list(self.endpoints.values()))
-            endpoint.rest = self.random.choice([1, 1.5, 3])
+            endpoint.back_off_s = self.random.choice([1, 1.5, 3])
             await asyncio.sleep(self.random.uniform(1.0, 3.0))
-            endpoint.rest = None
+            endpoint.back_off_s = None
 
     async def fault_path(self):
         proxy = self.random.choice(list(self.proxies.values()))
@@ -407,11 +414,11 @@
         self.store_proxy.mode = self.random.choice(["delay", "reset", "silent", "deaf"])
         await asyncio.sleep(self.random.uniform(0.2, 2.5))
         self.store_proxy.mode = ""
-        self.proxied_at = time.monotonic()
+        self.store_path_restored_at = time.monotonic()
 
     async def kill_entry(self):
         entry = self.random.choice(self.entries)
-        entry.kill(signal.SIGKILL)
+        entry.send_signal(signal.SIGKILL)
         await self.restart(entry)
 
     async def restart(self, entry):
@@ -424,18 +431,18 @@
 
     async def pause_entry(self):
         entry = self.random.choice(self.entries)
-        entry.kill(signal.SIGSTOP)
+        entry.send_signal(signal.SIGSTOP)
         await asyncio.sleep(self.random.uniform(0.2, 3.0))
-        entry.kill(signal.SIGCONT)
+        entry.send_signal(signal.SIGCONT)
 
     async def stop_entry(self):
         entry = self.random.choice(self.entries)
         child = entry.child
-        entry.kill(signal.SIGTERM)
+        entry.send_signal(signal.SIGTERM)
         try:
             await asyncio.wait_for(child.wait(), GRACE_S)
         except asyncio.TimeoutError:
-            entry.kill(signal.SIGKILL)
+            entry.send_signal(signal.SIGKILL)
         await self.restart(entry)
 
     async def leave(self):
@@ -461,12 +468,12 @@
     async def change_settings(self):
         entry = self.random.choice(self.entries)
         entry.path.write_text(entry.path.read_text() + "# touched\n")
-        entry.kill(signal.SIGHUP)
+        entry.send_signal(signal.SIGHUP)
 
     async def stop(self):
         for entry in self.entries:
-            entry.kill(signal.SIGCONT)
-            entry.kill(signal.SIGKILL)
+            entry.send_signal(signal.SIGCONT)
+            entry.send_signal(signal.SIGKILL)
             await entry.child.wait()
             entry.log.close()
         for listener in [self.store, self.store_proxy, *self.endpoints.values(), *self.proxies.values()]:
@@ -486,12 +493,12 @@
     parser.add_argument("--entries", type=int, default=3)
     parser.add_argument("--calm", action="store_true", help="no faults")
     parser.add_argument("--deadly", action="store_true",
-                        help="one caller sends a request again and again that ends each endpoint that begins to run it")
+                        help="one caller keeps sending requests that crash each endpoint that runs them")
     parser.add_argument("--limits", action="store_true", help="an endpoint of each service names a rate limit")
-    parser.add_argument("--rests", action="store_true", help="endpoints refuse everything and ask for rest")
+    parser.add_argument("--rests", action="store_true", help="endpoints refuse every request and ask for a back-off")
     parser.add_argument("--without-time-bounds", action="store_true",
-                        help="leave out the check that a busy machine could fail: a leaving endpoint's 2 s")
-    parser.add_argument("--logs", default="", help="directory to keep the processes' logs in")
+                        help="leave out the checks of time bounds, which a busy machine could fail")
+    parser.add_argument("--logs", default="", help="directory in which the logs of the processes are kept")
     options = parser.parse_args()
     failed = 0
     for seed in parse_seeds(options.seeds):
@@ -500,12 +507,12 @@
             os.makedirs(directory, exist_ok=True)
             run = Run(seed, options.seconds, options.program, directory, options.entries, not options.calm,
                       not options.without_time_bounds, options.deadly, options.limits, options.rests)
-            broken = asyncio.run(run.play())
+            violations = asyncio.run(run.execute())
         counts = " ".join(f"{name}={count}" for name, count in sorted(run.counts.items(), key=str))
-        print(f"seed {seed}: {len(run.sent_at)} requests, {len(broken)} broken; {counts}", flush=True)
-        for line in broken[:5]:
+        print(f"seed {seed}: {len(run.sent_at)} requests, {len(violations)} violations; {counts}", flush=True)
+        for line in violations[:5]:
             print(f"  {line}", flush=True)
-        failed += bool(broken)
+        failed += bool(violations)
     print(f"{len(parse_seeds(options.seeds)) - failed} passed, {failed} failed")
     return 1 if failed else 0
 
--- a/test/soak/standins.py
+++ b/test/soak/standins.py
@@ -1,5 +1,5 @@
-"""Stand-ins for what entry hosts meet on the platform: the store of objects, plain services, engines that stream,
-and a loopback proxy that delays, resets or silences connections. One asyncio process; faults are attributes."""
+"""Stand-ins for the systems around entry hosts: the object store, plain services, engines that stream, and a loopback
+proxy that delays, resets or silences connections. All run in one asyncio process; faults are set as attributes."""
 import asyncio
 import hashlib
 import json
@@ -7,8 +7,8 @@
 import urllib.parse
 
 
-def receipt_of(request_id, body):
-    """What an endpoint signs an answer with; a caller checks its whole answer by it."""
+def response_signature(request_id, body):
+    """The signature that an endpoint puts on an answer; callers use it to check that the answer is complete."""
     return hashlib.sha256(request_id.encode() + b"/" + body).hexdigest()[:16]
 
 
@@ -37,7 +37,7 @@
 
 
 def reset(writer):
-    """Closes so that the other side sees a reset, not an orderly end."""
+    """Aborts the connection, so that the other side sees a reset instead of an orderly close."""
     writer.transport.abort()
 
 
@@ -64,23 +64,24 @@
     def close(self):
         self.server.close()
 
-    def end(self):
-        """Ends as a process does: nothing listens any more, and every connection breaks."""
+    def crash(self):
+        """Behaves like a crashed process: stops listening and resets every connection."""
         self.server.close()
         for writer in list(self.writers):
             reset(writer)
 
 
 class Store(Listener):
-    """The store of objects: versions, watches, conditional writes. `mode`: "", "busy", "silent" or "lost"."""
+    """The object store: versions, watches, conditional writes. `mode`: "", "busy" (answers 503), "silent" (answers
+    after 30 s) or "lost" (a write takes effect, but its connection is reset)."""
 
     def __init__(self):
         self.kinds, self.events, self.revision = {}, [], 0
         self.mode, self.changed = "", asyncio.Event()
-        self.steady_since = time.monotonic()
+        self.mode_changed_at = time.monotonic()
 
     def set_mode(self, mode):
-        self.mode, self.steady_since = mode, time.monotonic()
+        self.mode, self.mode_changed_at = mode, time.monotonic()
 
     def put(self, kind, name, spec=None, status=None):
         self.revision += 1
@@ -89,16 +90,16 @@
         objects[name] = {"metadata": {"name": name, "revision": self.revision},
                          "spec": old.get("spec") if spec is None else spec,
                          "status": old.get("status") if status is None else status}
-        self.note(kind, objects[name], False)
+        self.record_event(kind, objects[name], False)
         return objects[name]
 
     def remove(self, kind, name):
         gone = self.kinds.get(kind, {}).pop(name, None)
         if gone:
             self.revision += 1
-            self.note(kind, gone, True)
+            self.record_event(kind, gone, True)
 
-    def note(self, kind, item, removed):
+    def record_event(self, kind, item, removed):
         copy = json.loads(json.dumps(item))
         self.events.append((self.revision, kind, {"removed": removed, "object": copy}))
         self.changed.set()
@@ -132,12 +133,12 @@
             return answer(200, json.dumps(page).encode())
         if method == "PUT" and path[-1] == "status":
             sent = json.loads(body)
-            held = self.kinds.get(path[0], {}).get(path[1])
-            if held is None:
+            current = self.kinds.get(path[0], {}).get(path[1])
+            if current is None:
                 return answer(404, b"{}")
             expected = sent["metadata"].get("revision")
-            if expected is not None and expected != held["metadata"]["revision"]:
-                return answer(409, json.dumps(held).encode())
+            if expected is not None and expected != current["metadata"]["revision"]:
+                return answer(409, json.dumps(current).encode())
             return answer(200, json.dumps(self.put(path[0], path[1], status=sent["status"])).encode())
         return answer(404, b"{}")
 
@@ -155,17 +156,18 @@
 
 
 class Endpoint(Listener):
-    """A plain service, or with `streams` an engine. Keeps every run in `record` by request id.
-    `fault`: "", "lost" (runs, answer reset), "half" (answer broken off), "hang", "extra" (a second answer)."""
+    """A plain service, or with `streams` an engine. Appends every run to `record`.
+    `fault`: "", "lost" (runs, then resets), "half" (breaks the answer off), "hang" (answers after 30 s) or "extra"
+    (sends the answer twice; plain services only). An engine breaks its stream off in both "lost" and "half"."""
 
-    def __init__(self, name, record, turned_away, random, streams):
+    def __init__(self, name, record, back_off_refusals, random, streams):
         self.name, self.record, self.random, self.streams = name, record, random, streams
-        self.turned_away = turned_away
+        self.back_off_refusals = back_off_refusals
         self.fault, self.leaving_since = "", None
-        self.limit = self.limited_since = None  # requests a second named in each answer
-        self.says_leaving_since = None  # its entry in the store goes on saying that it is ready
-        self.rest = None  # seconds of rest that it asks for, turning everything away
-        self.on_deadly = None  # called when a request comes that no endpoint survives
+        self.limit = self.limited_since = None  # rate limit in requests per second, named in each answer
+        self.announced_leaving_at = None  # when its answers began to announce it; the store still lists it as ready
+        self.back_off_s = None  # back-off that it asks for, in seconds; while set, it refuses every request
+        self.on_crash_request = None  # called when a request arrives that crashes the endpoint
 
     async def serve(self, reader, writer):
         while (request := await read_request(reader)) is not None:
@@ -177,16 +179,17 @@
             request_id = headers.get("x-request-id", "")
             if body.startswith(b"deadly"):
                 await asyncio.sleep(0.05)
-                self.on_deadly(self, request_id, now)
+                self.on_crash_request(self, request_id, now)
                 raise ConnectionResetError
             run = {"id": request_id, "at": now, "endpoint": self.name, "headers": headers,
                    "leaving_since": self.leaving_since, "fault": self.fault, "limit": self.limit,
                    "limited_since": self.limited_since, "answered_at": None,
-                   "says_leaving": self.says_leaving_since is not None}
-            if self.rest is not None:
-                self.turned_away.append({"id": request_id, "at": now, "rest": self.rest, "endpoint": self.name})
+                   "says_leaving": self.announced_leaving_at is not None}
+            if self.back_off_s is not None:
+                self.back_off_refusals.append({"id": request_id, "at": now, "rest": self.back_off_s,
+                                               "endpoint": self.name})
                 writer.write(answer(503, b"", [("X-Request-Id", request_id), ("X-Not-Executed", "1"),
-                                               ("Retry-After", self.rest)]))
+                                               ("Retry-After", self.back_off_s)]))
                 await writer.drain()
                 continue
             self.record.append(run)
@@ -200,13 +203,13 @@
             run["answered_at"] = time.monotonic()
 
     def statements(self):
-        said = [] if self.limit is None else [("Server-Limit", self.limit)]
-        return said if self.says_leaving_since is None else [*said, ("Server-Leaving", "1")]
+        fields = [] if self.limit is None else [("Server-Limit", self.limit)]
+        return fields if self.announced_leaving_at is None else [*fields, ("Server-Leaving", "1")]
 
     async def answer_plain(self, writer, request_id, body):
         await asyncio.sleep(self.random.uniform(0.005, 0.05))
         text = f"done {request_id} by {self.name} with {len(body)} bytes".encode()
-        fields = [("X-Request-Id", request_id), ("X-Response-Signature", receipt_of(request_id, text)),
+        fields = [("X-Request-Id", request_id), ("X-Response-Signature", response_signature(request_id, text)),
                   *self.statements()]
         whole = answer(200, text, fields)
         if self.fault == "lost":
@@ -223,9 +226,9 @@
         count = 6 + int(hashlib.sha256(request_id.encode()).hexdigest(), 16) % 20
         first = int(headers.get("last-event-id", "0")) + 1
         confidence = self.random.choice([20, 80])
-        said = "".join(f"{name}: {value}\r\n" for name, value in self.statements())
-        writer.write((f"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nX-Request-Id: {request_id}\r\n{said}"
-                      f"X-Response-Signature: {receipt_of(request_id, b'')}\r\nX-Confidence: {confidence}\r\n"
+        lines = "".join(f"{name}: {value}\r\n" for name, value in self.statements())
+        writer.write((f"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nX-Request-Id: {request_id}\r\n{lines}"
+                      f"X-Response-Signature: {response_signature(request_id, b'')}\r\nX-Confidence: {confidence}\r\n"
                       "Transfer-Encoding: chunked\r\n\r\n").encode())
         for number in range(first, count + 1):
             event = f"id: {number}\ndata: {request_id} {number}/{count}\n\n".encode()
@@ -241,7 +244,8 @@
 
 
 class Proxy(Listener):
-    """Passes connections on to `target`. `mode`: "", "delay", "reset", "silent" (both ways), "deaf" (one way)."""
+    """Forwards connections to the port `target`. `mode`: "", "delay", "reset", "silent" (drops all data) or "deaf"
+    (drops only the answers)."""
 
     def __init__(self, target):
         self.target, self.mode = target, ""
--- a/test/standin_test.cpp
+++ b/test/standin_test.cpp
@@ -37,6 +37,8 @@
 
 } // namespace
 
+// Guards against a stand-in store that overwrites an object although the condition of the write does not
+// hold.
 TEST_F(standins, the_store_rejects_a_write_whose_condition_fails) {
     const object_store store(loop, {"127.0.0.1", port});
     EXPECT_EQ(ask("GET", "/objects/a").status, 404);
@@ -48,6 +50,7 @@
     EXPECT_EQ(ask("GET", "/objects/a").body, "3");
 }
 
+// Guards against watches that miss a change or that do not end after their waiting time.
 TEST_F(standins, a_watch_answers_when_the_object_changes) {
     object_store store(loop, {"127.0.0.1", port});
     store.put("a", 1);
@@ -56,6 +59,8 @@
     EXPECT_EQ(ask("GET", "/watch/a?since=2&wait_ms=20").status, 404);
 }
 
+// Guards against injected faults that differ from their description: a write whose answer is lost takes
+// effect, and a store that is down refuses.
 TEST_F(standins, a_write_with_a_lost_answer_takes_effect) {
     object_store store(loop, {"127.0.0.1", port});
     store.set_faults({false, 0, 1.0});
@@ -65,6 +70,8 @@
     EXPECT_EQ(ask("GET", "/objects/a").status, 503);
 }
 
+// Guards against an engine that accepts an order with an old fencing number, serves a version that is not
+// loaded, or repeats parts of a resumed stream.
 TEST_F(standins, an_engine_loads_serves_and_rejects_old_fencing_numbers) {
     weight_store weights(loop);
     engine_settings settings{"e", "pool", 2, true, {{"m@1", {0.9, 1, 1, 10}}}, {}};
