--- a/src/programs/laurel_load.cpp
+++ b/src/programs/laurel_load.cpp
@@ -312,7 +312,7 @@
     report_.foreign += text.find("answer to " + request) == std::string::npos ? 1 : 0;
     ++report_.model_answers;
     report_.tokens += FLAGS_tokens;
-    const bool is_good = score_in(text) >= min_good_score;
+    const bool is_good = parse_score(text) >= min_good_score;
     report_.good += is_good ? 1 : 0;
     if (!FLAGS_bad_version.empty() && text.find(" by " + FLAGS_bad_version + " ") != std::string::npos) {
         ++report_.bad_released;
--- a/src/standin/plain_service.h
+++ b/src/standin/plain_service.h
@@ -1,6 +1,6 @@
 /** \file
- * Defines the stand-in for a plain service: it does each call, and remembers what it has done, so that a
- * doubled booking can be seen.
+ * Defines the stand-in for a plain service. It runs each call and counts the runs by the call's reference, so
+ * that a call that ran twice can be detected.
  */
 #pragma once
 
@@ -8,18 +8,19 @@
 
 namespace laurelhoist {
 
-/** What all endpoints of all services have done, by the reference in the call's body. */
-using done_calls = std::map<std::string, std::int64_t>;
+/** The number of runs on all endpoints of all services, by the reference in the call's body. */
+using calls_by_reference = std::map<std::string, std::int64_t>;
 
 struct service_faults {
-    std::string
-        mode; ///< "", "silent" (does the call, never answers), "leaving" or "cut" (does it, cuts the answer)
+    /// "", "silent" (runs the call, never answers), "leaving" or "cut" (runs the call, breaks the connection)
+    std::string mode;
 };
 LAUREL_VALUE_TYPE(service_faults, mode)
 
 class plain_service {
 public:
-    plain_service(event_loop& loop, const socket_address& address, std::string name, done_calls& done);
+    plain_service(event_loop& loop, const socket_address& address, std::string name,
+                  calls_by_reference& done);
     void set_faults(const service_faults& faults) { faults_ = faults; }
     const std::string& name() const { return name_; }
 
@@ -28,7 +29,7 @@
 
     event_loop& loop_;
     std::string name_;
-    done_calls& done_;
+    calls_by_reference& done_;
     service_faults faults_;
     std::unique_ptr<http_server> server_;
 };
