--- a/src/simulation/replay.cpp
+++ b/src/simulation/replay.cpp
@@ -23,7 +23,7 @@
         add_unmet("share of complete answers", whole_share, wanted.least_whole_share);
     }
     if (static_cast<std::int64_t>(report.doubled_calls) > wanted.most_doubled) {
-        add_unmet("calls that ran twice", static_cast<double>(report.doubled_calls),
+        add_unmet("duplicate calls", static_cast<double>(report.doubled_calls),
                   static_cast<double>(wanted.most_doubled));
     }
     if (static_cast<std::int64_t>(report.unbilled) > wanted.most_unbilled) {
