--- a/src/host/entry_host.cpp
+++ b/src/host/entry_host.cpp
@@ -42,7 +42,7 @@
     return status;
 }
 
-watch_timing spread_timing(watch_timing timing, const std::string& host) {
+watch_timing with_jitter(watch_timing timing, const std::string& host) {
     timing.jitter_seed = placement_hash("watch/" + host) | 1;
     return timing;
 }
@@ -76,7 +76,7 @@
                     store,
                     charts.watch,
                     codec.config_kind(),
-                    spread_timing(config_timing, settings.name),
+                    with_jitter(config_timing, settings.name),
                     {[this](const objects_by_name& objects) { on_config(objects); },
                      [this](time_point as_of) {
                          store_confirmed_at_ = monotonic_now();
@@ -123,8 +123,8 @@
     set_seeds(settings_.seeds);
     relay_.state().on_load_changed = [this] { on_load_changed(); };
     relay_.state().on_connection_refused = [this](const std::string& endpoint) { on_refused(endpoint); };
-    relay_.state().on_crash_notices_changed = [this] { on_crash_news(); };
-    relay_.state().on_limits_changed = [this] { on_limit_news(); };
+    relay_.state().on_crash_notices_changed = [this] { schedule_crash_updates(); };
+    relay_.state().on_limits_changed = [this] { schedule_limit_updates(); };
     relay_.listen(settings_.callers);
     started_at_ = monotonic_now();
     reading_since_ = started_at_;
--- a/src/host/entry_host.h
+++ b/src/host/entry_host.h
@@ -127,10 +127,10 @@
     std::vector<refused_endpoint> known_refusals(time_point now) const;
     void assign_sponsored_endpoints(time_point now);
     void assign_trials(time_point now);
-    void on_crash_news();
+    void schedule_crash_updates();
     void send_crash_updates();
     void handle(const std::string& from, const crash_update& message);
-    void on_limit_news();
+    void schedule_limit_updates();
     void send_limit_updates();
     void handle(const std::string& from, const limit_update& message);
     void send_load_update();
--- a/src/host/entry_host_peers.cpp
+++ b/src/host/entry_host_peers.cpp
@@ -239,7 +239,7 @@
     relay_.state().endpoints.allowance().set_hosts(view, now);
 }
 
-void entry_host::on_limit_news() {
+void entry_host::schedule_limit_updates() {
     if (is_limit_update_scheduled_) {
         return;
     }
@@ -275,7 +275,7 @@
     relay_.state().quarantine.set_hosts(names_of(gossip_.live(now)), now - started_at_ > host_discovery_time);
 }
 
-void entry_host::on_crash_news() {
+void entry_host::schedule_crash_updates() {
     if (is_crash_update_scheduled_) {
         return;
     }
@@ -296,12 +296,12 @@
     const crash_quarantine::pending_notices pending_notices = relay_.state().quarantine.take_pending(now);
     const std::vector<host_status>& live = gossip_.live(now);
     std::vector<crash_notice> for_all = pending_notices.for_all;
-    std::map<std::string, std::vector<crash_notice>> by_keeper;
+    std::map<std::string, std::vector<crash_notice>> by_tracker;
     if (is_large_fleet(now)) {
         const std::vector<std::string> names = names_of(live);
         for (const crash_notice& notice : pending_notices.for_trackers) {
-            for (const std::string& keeper : trackers_of(notice.digest, names)) {
-                by_keeper[keeper].push_back(notice);
+            for (const std::string& tracker : trackers_of(notice.digest, names)) {
+                by_tracker[tracker].push_back(notice);
             }
         }
     } else {
@@ -315,12 +315,12 @@
         send_to_others(live, encode_peer_message(crash_update{{begin, end}}));
     }
     for (const host_status& peer : live) {
-        const auto kept = by_keeper.find(peer.name);
-        if (kept != by_keeper.end()) {
+        const auto found = by_tracker.find(peer.name);
+        if (found != by_tracker.end()) {
             // After the loss of a failure domain there may be more notices. The rest is dropped; those
             // requests are counted again if an endpoint crashes under them once more.
-            kept->second.resize(std::min(kept->second.size(), max_crashes_per_message));
-            send_to_others({peer}, encode_peer_message(crash_update{kept->second}));
+            found->second.resize(std::min(found->second.size(), max_crashes_per_message));
+            send_to_others({peer}, encode_peer_message(crash_update{found->second}));
         }
     }
 }
--- a/src/host/entry_host_rollouts.cpp
+++ b/src/host/entry_host_rollouts.cpp
@@ -167,8 +167,8 @@
         if (failure != nullptr && *failure != store_failure::conflict) {
             hand_over_report(due);
         }
-        const duration rest = failure == nullptr ? report_confirmation_time : duration::zero();
-        loop_.after(rest, [this, service = due.order.service] { reports_in_flight_.erase(service); });
+        const duration delay = failure == nullptr ? report_confirmation_time : duration::zero();
+        loop_.after(delay, [this, service = due.order.service] { reports_in_flight_.erase(service); });
     });
 }
 
--- a/src/membership/host_list.cpp
+++ b/src/membership/host_list.cpp
@@ -31,7 +31,7 @@
 
 } // namespace
 
-std::uint32_t process_code(const std::string& endpoint, std::int64_t started_at_ms) {
+std::uint32_t process_hash(const std::string& endpoint, std::int64_t started_at_ms) {
     return static_cast<std::uint32_t>(placement_hash(endpoint, static_cast<std::uint64_t>(started_at_ms)));
 }
 
--- a/src/membership/host_list.h
+++ b/src/membership/host_list.h
@@ -32,7 +32,7 @@
 }
 
 /** \return a hash that identifies one process of an endpoint; it changes when the endpoint restarts. */
-std::uint32_t process_code(const std::string& endpoint, std::int64_t started_at_ms);
+std::uint32_t process_hash(const std::string& endpoint, std::int64_t started_at_ms);
 
 /** Picks the endpoints of one pool that \p entry uses. The choice is deterministic, spreads entries evenly
  * over endpoints, and takes one endpoint from each failure domain in turn while the domain has any left.
--- a/src/node/entry_quarantine.cpp
+++ b/src/node/entry_quarantine.cpp
@@ -26,7 +26,7 @@
         return;
     }
     const request_digest key = quarantine_key(request);
-    const std::uint32_t process = process_code(request.endpoint.name, request.endpoint.started_at_ms);
+    const std::uint32_t process = process_hash(request.endpoint.name, request.endpoint.started_at_ms);
     quarantine_.on_end(key, {process, request.call_started, now_}, now_);
     if (quarantine_.ends_of(key) >= ends_to_quarantine) {
         refuse_queued_requests(key);
--- a/src/placement/leaving_endpoints.cpp
+++ b/src/placement/leaving_endpoints.cpp
@@ -11,7 +11,7 @@
 constexpr duration departure_ttl = seconds(60);
 
 std::uint32_t process_code_of(const endpoint_record& endpoint) {
-    return process_code(endpoint.name, endpoint.started_at_ms);
+    return process_hash(endpoint.name, endpoint.started_at_ms);
 }
 
 } // namespace
--- a/src/placement/leaving_endpoints.h
+++ b/src/placement/leaving_endpoints.h
@@ -30,7 +30,7 @@
         time_point announced_at;
         time_point listed_at; ///< when the store last listed the process
     };
-    std::map<std::uint32_t, departure> departures_; ///< by \ref process_code
+    std::map<std::uint32_t, departure> departures_; ///< by \ref process_hash
 };
 
 } // namespace laurelhoist
--- a/src/placement/rate_limits.cpp
+++ b/src/placement/rate_limits.cpp
@@ -67,7 +67,7 @@
         processes_.clear();
         by_process_.clear();
         for (std::size_t i = 0; i < listed_.size(); ++i) {
-            const std::uint32_t process = process_code(listed_[i].name, listed_[i].started_at_ms);
+            const std::uint32_t process = process_hash(listed_[i].name, listed_[i].started_at_ms);
             processes_[listed_[i].name] = process;
             by_process_[process] = i;
         }
@@ -184,7 +184,7 @@
     if (known_limits_.empty() && !statement.requests_per_s) {
         return false;
     }
-    const std::uint32_t process = process_code(endpoint.name, endpoint.started_at_ms);
+    const std::uint32_t process = process_hash(endpoint.name, endpoint.started_at_ms);
     const bool is_news = apply_statement(process, statement, now);
     if (is_news) {
         known_limits_[process].is_pending = true;
--- a/src/placement/rate_limits.h
+++ b/src/placement/rate_limits.h
@@ -36,7 +36,7 @@
 
 /** A \ref limit_statement as hosts exchange it, with ages in place of times because their clocks differ. */
 struct limit_notice {
-    std::uint32_t process = 0;  ///< \ref process_code of the endpoint
+    std::uint32_t process = 0;  ///< \ref process_hash of the endpoint
     double requests_per_s = -1; ///< -1: the limit has been lifted
     std::int64_t sent_age_ms = 0;
     std::int64_t heard_age_ms = 0;
@@ -110,7 +110,7 @@
     std::string host_;
     host_view view_;
     std::vector<endpoint_record> listed_;
-    std::map<std::string, std::uint32_t> processes_;  ///< \ref process_code of the listed endpoints, by name
+    std::map<std::string, std::uint32_t> processes_;  ///< \ref process_hash of the listed endpoints, by name
     std::map<std::uint32_t, std::size_t> by_process_; ///< index in \ref listed_ by process code
     std::map<std::uint32_t, known_limit> known_limits_; ///< by process code; also of endpoints not listed yet
     std::map<std::string, std::size_t> sharers_;        ///< hosts that use an endpoint, by pool
--- a/src/recovery/crash_quarantine.h
+++ b/src/recovery/crash_quarantine.h
@@ -37,7 +37,7 @@
 
 /** The end of an endpoint's process while an attempt was in flight there. */
 struct endpoint_end {
-    std::uint32_t process = 0; ///< \ref process_code of the endpoint
+    std::uint32_t process = 0; ///< \ref process_hash of the endpoint
     time_point sent_at;        ///< when the attempt was sent
     time_point ended_at;
 };
--- a/src/relay/exchange_quarantine.cpp
+++ b/src/relay/exchange_quarantine.cpp
@@ -44,7 +44,7 @@
 
 suspected_end exchange::make_suspected_end() {
     const endpoint_record& endpoint = attempt_.chosen.endpoint;
-    const std::uint32_t process = process_code(endpoint.name, endpoint.started_at_ms);
+    const std::uint32_t process = process_hash(endpoint.name, endpoint.started_at_ms);
     const endpoint_end end{process, attempt_.sent_at, monotonic_now()};
     return {digest(), end, endpoint.name, terms_.id, team_name()};
 }
--- a/test/rate_limits_test.cpp
+++ b/test/rate_limits_test.cpp
@@ -89,7 +89,7 @@
 // Guards against the loss of notices that arrive before the list of endpoints.
 TEST(rate_limits, notices_of_unlisted_endpoints_are_kept) {
     rate_limits limits("host0");
-    limits.merge({{process_code("e", 1000), 2.0, 100, 0}}, start);
+    limits.merge({{process_hash("e", 1000), 2.0, 100, 0}}, start);
     limits.update({engine("e")}, start + seconds(1));
     EXPECT_EQ(limits.limit_of("e"), 2.0);
 }
@@ -101,7 +101,7 @@
     host_status alone;
     alone.name = "host0";
     alone.state = "serving";
-    limits.merge({{process_code("e", 1000), limit, age, age}}, start);
+    limits.merge({{process_hash("e", 1000), limit, age, age}}, start);
     limits.set_hosts({{alone}, true}, start);
     RC_ASSERT(limits.may_send_within("e", seconds(5), start));
 }
