--- a/src/host/entry_host.cpp
+++ b/src/host/entry_host.cpp
@@ -17,7 +17,7 @@
 constexpr duration maintenance_interval = milliseconds(250);
 constexpr duration stop_interval = milliseconds(100);
 constexpr std::size_t max_logged_invalid_endpoints =
-    1000; ///< kept in memory, so that each is logged only once
+    1000; ///< endpoints whose last logged revision is remembered
 /// Callers cache the list of entry hosts for about this long, so requests still arrive during this time.
 constexpr duration serving_after_stop = milliseconds(3000);
 constexpr duration stop_margin =
@@ -132,7 +132,7 @@
         loop_, "peers", settings_.peers, http_limits{},
         [this](const http_request& request, const auto& responder) { serve_copy(request, responder); });
     for (object_watch* watch : watches()) {
-        watch->pause(); // After its first listing, until it is known which hosts read.
+        watch->pause(); // Takes effect after the first listing, until it is known which hosts read the store.
         // The configuration must be the newest: it is also the first confirmation that API keys are valid.
         watch->start(watch == &config_watch_ ? listing_freshness::newest : listing_freshness::lagging);
     }
--- a/src/host/entry_host.h
+++ b/src/host/entry_host.h
@@ -142,6 +142,8 @@
     reading_inputs current_reading_inputs(time_point now) const;
     bool reads_everything() const { return reading_ == reading_mode::all; }
     bool is_large_fleet(time_point now) const { return gossip_.is_large_fleet(now); }
+    /// Recipients of a copy notice: those of \ref change_notice_targets after a change, and random peers in a
+    /// gossip round.
     enum class notice_scope { change, round };
     void send_copy_notice(notice_scope scope);
     void send_to_others(const std::vector<host_status>& peers, const std::string& bytes);
--- a/src/host/entry_host_copies.cpp
+++ b/src/host/entry_host_copies.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-/// A reader must notice the store's return soon, because the other hosts depend on its copies; they need not.
+/// A reader must notice the store's return soon, because the other hosts depend on its copies. The other
+/// hosts may notice it later.
 constexpr duration reader_max_backoff = milliseconds(250);
 constexpr duration non_reader_max_backoff = milliseconds(2500);
 /// Other hosts count a configuration's age from when a reader confirmed it, and API keys expire after 5 s.
--- a/src/host/entry_host_rollouts.cpp
+++ b/src/host/entry_host_rollouts.cpp
@@ -115,7 +115,7 @@
     }
 }
 
-// Returns 0 for the host that reports first.
+// Returns the number of hosts that report before this one.
 std::size_t entry_host::reporter_position(time_point now) const {
     const std::vector<host_status>& hosts = gossip_.live(now);
     if (is_large_fleet(now)) {
--- a/src/membership/endpoint_roster.h
+++ b/src/membership/endpoint_roster.h
@@ -22,7 +22,8 @@
 /// The platform guarantees that registrations that expired in an outage are back this long after it.
 constexpr duration reregistration_time = milliseconds(2000);
 /// Endpoints rewrite their entry about every 1.2 s, which replaces what an earlier process wrote late. An
-/// entry that is still there after this time is true: the wall clock jumped back between the two starts.
+/// entry that is still there after this time is that of the current process, whose wall clock jumped back
+/// between the two starts.
 constexpr duration stale_entry_timeout = milliseconds(1500);
 
 class endpoint_roster {
--- a/src/membership/host_gossip.cpp
+++ b/src/membership/host_gossip.cpp
@@ -12,9 +12,9 @@
 constexpr std::size_t targets_per_round = 3;
 constexpr std::size_t own_domain_targets = 2;        ///< targets in the own failure domain, on a large fleet
 constexpr std::size_t max_statuses_per_message = 12; ///< fits one or two packets of 1,400 bytes
-/// On a small fleet a message describes one of this many hosts, which is enough for a heartbeat to reach all
-/// hosts within three rounds. With all hosts in each message, gossip made up a quarter of the bytes between
-/// the failure domains of an 8-host fleet.
+/// On a small fleet a message carries the status of one in this many hosts, which is enough for a heartbeat
+/// to reach all hosts within three rounds. With all hosts in each message, gossip made up a quarter of the
+/// bytes between the failure domains of an 8-host fleet.
 constexpr std::size_t hosts_per_status = 6;
 constexpr std::size_t min_statuses_per_message = 4;
 /// On a large fleet a host forwards a changed status in at most this many messages before other statuses take
--- a/src/membership/store_reading.cpp
+++ b/src/membership/store_reading.cpp
@@ -33,8 +33,8 @@
 /// seconds over 10 Mbit/s links, while the store delivers it at once. With 300 ms, 55 of 74 hosts asked the
 /// store at each change, because copies sometimes take that long on hosts with an eighth of a core.
 constexpr duration max_copy_delay = milliseconds(500);
-/// One of them may be lost together with its failure domain. Each additional reader costs one call for every
-/// change of an endpoint.
+/// Hosts of a large fleet that read the store for all. One of them may be lost together with its failure
+/// domain. Each additional reader costs one call for every change of an endpoint.
 constexpr std::size_t large_fleet_readers = 2;
 
 /// A host that may read the store, with its rank within its failure domain.
--- a/src/membership/store_reading.h
+++ b/src/membership/store_reading.h
@@ -45,7 +45,7 @@
 
 /// Hosts of each failure domain that the readers notify of a change directly; one of them may be lost.
 constexpr std::size_t relays_per_domain = 2;
-/// Hosts that one host notifies of a change at once. Each of them requests a copy, which has up to 80 KB when
+/// Hosts that one host notifies of a change at once. Each of them requests a copy, of up to 80 KB when
 /// a release adds 190 endpoints; four copies occupy a 20 Mbit/s link for an eighth of a second.
 constexpr std::size_t change_notice_fanout = 4;
 
@@ -67,9 +67,9 @@
 /** Chooses the hosts that the host \p name notifies of a change at once. Within a failure domain notices
  * spread along a tree in the reader order; a reader also notifies the relays of all domains.
  *
- * Load pattern: a release adds 190 endpoints to a fleet of 295 hosts. Three relays in each domain sent
- * sixteen copies or more each, on an eighth of a core and 20 Mbit/s, and for 2.5 s forwarded requests whose
- * callers had already left.
+ * Load pattern: a release adds 190 endpoints to a fleet of 295 hosts. When three relays in each domain sent
+ * copies to all other hosts of the domain, each relay sent sixteen or more with an eighth of a core and a
+ * 20 Mbit/s link. For 2.5 s it forwarded requests whose callers had already left.
  *
  * \return at most \ref change_notice_fanout hosts and, for a reader, the relays in addition */
 std::vector<host_status> change_notice_targets(const std::string& name, bool is_reader,
--- a/src/store/object_watch.cpp
+++ b/src/store/object_watch.cpp
@@ -153,7 +153,7 @@
     const time_point sent_at = monotonic_now();
     const std::uint64_t call = ++current_call_;
     // The first call after a failure does not wait: the return of the store must be noticed at once, because
-    // the time for which endpoints that have disappeared are kept starts there.
+    // the time for which endpoints that have disappeared are kept begins with it.
     current_wait_ = is_reachable_ && !skips_next_wait_ ? next_wait() : duration::zero();
     skips_next_wait_ = false;
     store_.watch(kind_, revision_, current_wait_, [this, sent_at, call](const auto& result) {
--- a/src/store/object_watch.h
+++ b/src/store/object_watch.h
@@ -31,7 +31,8 @@
     std::uint64_t jitter_seed = 0;
 };
 
-/// Watches may miss changes for up to a second before the store drops its history.
+/// Before the store drops its history, its watches may miss changes for up to a second. This window is
+/// slightly longer.
 constexpr duration event_loss_window = milliseconds(1100);
 
 /** Keeps a local copy of the objects of one kind.
--- a/src/transport/event_loop.h
+++ b/src/transport/event_loop.h
@@ -30,7 +30,7 @@
     void after(duration delay, std::function<void()> work);
     /** Runs \p work every \p interval until the loop stops. */
     void every(duration interval, std::function<void()> work);
-    /** Runs \p work on SIGTERM or SIGINT. */
+    /** Runs \p work once, on the first SIGTERM or SIGINT. */
     void on_stop_signal(std::function<void()> work);
 
     /** \return the Asio context, for use within the transport library only. */
--- a/src/transport/http_server.h
+++ b/src/transport/http_server.h
@@ -76,7 +76,8 @@
     std::shared_ptr<state> state_;
 };
 
-/** Starts a server; ends the process with an error message if it cannot listen on \p address. */
+/** Starts a server; ends the process with an error message if it cannot listen on \p address.
+ * \param flag the setting that holds \p address, named in the error message */
 std::unique_ptr<http_server> listen_or_exit(event_loop& loop, const std::string& flag,
                                             const socket_address& address, const http_limits& limits,
                                             http_server::handler on_request);
--- a/test/host_test.cpp
+++ b/test/host_test.cpp
@@ -6,7 +6,7 @@
 namespace laurelhoist {
 namespace {
 
-// A field that is missing from the encoding, or shares its code with another field, would be lost on the way.
+// A field that is missing from the encoding, or shares its code with another field, would be lost in transit.
 TEST(peer_messages, every_kind_of_message_is_decoded_as_it_was_encoded) {
     gossip_message gossip;
     host_status status;
--- a/test/soak/platform_soak.py
+++ b/test/soak/platform_soak.py
@@ -22,9 +22,9 @@
 REVOKE_S = 5.0              # longest time for which a withdrawn key may still be accepted
 LEAVING_S = 2.0             # time after which a leaving endpoint gets no new request
 CRASH_NOTICE_S = 3.0        # time after which every host knows of a request that crashes endpoints
-MAX_TRIALS = 3              # trials of such a request allowed after that, by all hosts together
+MAX_TRIALS = 3              # crashes tolerated, over all hosts, once they know of the request that causes them
 LIMIT_NOTICE_S = 3.0        # time after which an endpoint's rate limit must be kept by every host
-LIMIT_ANSWER_S = 0.5        # the same for a host that has forwarded an answer that names the limit
+LIMIT_ANSWER_S = 0.5        # time after which a host that forwarded an answer stating a limit must keep the limit
 LIMIT_WINDOW_S = 4.0        # window in which requests are counted against a rate limit
 BACK_OFF_NOTICE_S = 0.5     # time after which a host must keep the back-off that an endpoint asked it for
 MAX_BACK_OFF_REQUESTS = 2   # requests tolerated from a host during a back-off
@@ -169,11 +169,11 @@
                     reader, writer = await asyncio.wait_for(
                         asyncio.open_connection(entry.address, entry.ports["callers"]), 1)
                     connection = (entry, reader, writer)
-                keeps = await asyncio.wait_for(self.ask(number, connection), 8)
+                keeps_open = await asyncio.wait_for(self.ask(number, connection), 8)
             except (ConnectionError, OSError, asyncio.IncompleteReadError, asyncio.TimeoutError):
                 self.counts["unanswered"] += 1
-                keeps = False
-            if not keeps and connection is not None:
+                keeps_open = False
+            if not keeps_open and connection is not None:
                 connection[2].close()
                 connection = None
             await asyncio.sleep(self.random.uniform(0.005, 0.04))
