--- a/test/platform_test.cpp
+++ b/test/platform_test.cpp
@@ -47,6 +47,7 @@
     EXPECT_EQ(config->teams[0].priority, 1);
 }
 
+// A request whose kind was wrongly taken as idempotent could be retried and run twice.
 TEST(config_decoder, an_unknown_kind_is_non_idempotent) {
     json config = sample_config();
     config["routes"][0]["kind"] = "brand-new";
@@ -174,6 +175,8 @@
     EXPECT_EQ(read_events(body.dump()).events.size(), 1U);
 }
 
+// The order of a new release may still carry the status of the previous one. Taken as its own, that status
+// would make a roll-out that has not begun count as completed.
 TEST(config_decoder, a_status_applies_only_to_the_release_it_names) {
     stored_object object = object_with({{"service", "pool"}, {"target", "v3"}, {"duration_s", 12}});
     object.status = {{"state", "completed"}, {"target", "v2"}};
@@ -286,7 +289,7 @@
     EXPECT_FALSE(header_dialect().read_answer(200, {}).says.is_leaving);
 }
 
-/** \return the backoff in ms for a response with \p status and these values of Retry-After; -1 if none is
+/** \return the back-off in ms for a response with \p status and these values of Retry-After; -1 if none is
  * requested */
 double back_off_in(int status, const std::vector<std::string>& values) {
     header_list headers;
--- a/test/store_test.cpp
+++ b/test/store_test.cpp
@@ -86,6 +86,8 @@
     int histories_gone = 0;
 };
 
+// Objects may change while later pages are read. A watch that followed from the revision of the last page
+// would miss the changes to objects of the earlier pages.
 TEST(object_watch, lists_all_pages_and_follows_from_the_first) {
     watch_fixture copy;
     copy.answer_list(object_page{{object("a", 3)}, true, 7});
--- a/test/transport_test.cpp
+++ b/test/transport_test.cpp
@@ -100,6 +100,7 @@
     EXPECT_FALSE(was_handled);
 }
 
+// A client that passed on each chunk only when the next one arrives would delay every token of a stream.
 TEST_F(http_pair, delivers_a_stream_piece_by_piece) {
     serve({}, [this](const http_request&, const std::shared_ptr<http_responder>& responder) {
         responder->begin_stream(200, {});
