--- a/src/relay/exchange.cpp
+++ b/src/relay/exchange.cpp
@@ -105,7 +105,7 @@
 
 void exchange::start() {
     arrived_at_ = monotonic_now();
-    config_age_ = state_.fence.age(arrived_at_);
+    config_age_ = state_.freshness.age(arrived_at_);
     terms_ = state_.dialect.read_request(request_);
     auto self = shared_from_this();
     caller_->on_caller_gone([self] { self->on_caller_gone(); });
@@ -178,7 +178,7 @@
     }
     // Guards against accepting a key that was withdrawn while this host received no updates of the
     // configuration: without a recent confirmation the host cannot tell whether the key is still valid.
-    if (terms_.has_key && !state_.fence.admits(arrived_at_)) {
+    if (terms_.has_key && !state_.freshness.admits(arrived_at_)) {
         answer_failure(status_unavailable, "configuration_unconfirmed",
                        "connect to another entry: this one cannot check keys now", retry_after_unavailable);
         return false;
--- a/src/relay/relay.h
+++ b/src/relay/relay.h
@@ -48,12 +48,12 @@
                                                   relay_settings_in.cold_sharing}}},
           pool{event_loop_in.context()},
           quarantine{relay_settings_in.host},
-          fence{relay_settings_in.revoke_bound, fence_margin},
+          freshness{relay_settings_in.revoke_bound, freshness_margin},
           first_events{relay_settings_in.in_use.learns_reading_time} {}
 
     /// Part of the revocation bound that is reserved for the delay of the caller's link and for differences
     /// between clock rates.
-    static constexpr duration fence_margin = milliseconds(300);
+    static constexpr duration freshness_margin = milliseconds(300);
 
     event_loop& loop;
     const wire_dialect& dialect;
@@ -63,7 +63,7 @@
     endpoint_directory endpoints;
     connection_pool pool;
     crash_quarantine quarantine;
-    config_freshness fence;
+    config_freshness freshness;
     first_event_estimate first_events;
     std::map<std::string, retry_budget> retry_budgets;   ///< budgets of retries, by service
     std::map<std::string, retry_budget> cascade_budgets; ///< budgets of cascade steps up, by service
--- a/test/traffic_test.cpp
+++ b/test/traffic_test.cpp
@@ -41,29 +41,29 @@
 
 // A host that has just started cannot know which keys were withdrawn.
 TEST(config_freshness, admits_nothing_before_the_first_confirmation) {
-    const config_freshness fence(seconds(5), milliseconds(300));
-    EXPECT_FALSE(fence.admits(time_point{}));
+    const config_freshness freshness(seconds(5), milliseconds(300));
+    EXPECT_FALSE(freshness.admits(time_point{}));
 }
 
 // A host loses its connection to the store just before an operator withdraws a key, so it still accepts the
 // key. Five seconds after the withdrawal it must not: it has to refuse requests that it cannot check.
 RC_GTEST_PROP(config_freshness, a_key_withdrawn_after_the_last_confirmation_never_runs_beyond_the_bound,
               (std::uint32_t confirmed_ms, std::uint32_t withdrawn_after_ms, std::uint32_t sent_after_ms)) {
-    config_freshness fence(seconds(5), milliseconds(300));
+    config_freshness freshness(seconds(5), milliseconds(300));
     const time_point confirmed = time_point{} + milliseconds(confirmed_ms % 100'000);
     const time_point withdrawn = confirmed + milliseconds(withdrawn_after_ms % 10'000);
     const time_point sent = withdrawn + seconds(5) + milliseconds(sent_after_ms % 10'000);
-    fence.confirm(confirmed);
-    RC_ASSERT(!fence.admits(sent));
+    freshness.confirm(confirmed);
+    RC_ASSERT(!freshness.admits(sent));
 }
 
 // Confirmations may arrive out of order.
 TEST(config_freshness, an_older_confirmation_does_not_lower_the_freshness) {
-    config_freshness fence(seconds(5), milliseconds(300));
-    fence.confirm(time_point{} + seconds(10));
-    fence.confirm(time_point{} + seconds(4));
-    EXPECT_TRUE(fence.admits(time_point{} + seconds(14)));
-    EXPECT_EQ(fence.age(time_point{} + seconds(12)), seconds(2));
+    config_freshness freshness(seconds(5), milliseconds(300));
+    freshness.confirm(time_point{} + seconds(10));
+    freshness.confirm(time_point{} + seconds(4));
+    EXPECT_TRUE(freshness.admits(time_point{} + seconds(14)));
+    EXPECT_EQ(freshness.age(time_point{} + seconds(12)), seconds(2));
 }
 
 } // namespace
