--- a/src/bundle/bundle_check.cpp
+++ b/src/bundle/bundle_check.cpp
@@ -31,7 +31,7 @@
     return path;
 }
 
-faults check_shape(const json& document) {
+faults check_structure(const json& document) {
     static const std::unique_ptr<valijson::Schema> schema = load_schema();
     valijson::Validator validator;
     valijson::ValidationResults results;
@@ -143,7 +143,7 @@
     }
 }
 
-faults check_meaning(const bundle& document) {
+faults check_semantics(const bundle& document) {
     faults found;
     const auto name_of = [](const auto& item) { return item.name; };
     check_unique(document.pools, "/pools", name_of, found);
@@ -172,11 +172,11 @@
 } // namespace
 
 std::vector<bundle_fault> check_bundle(const json& document) {
-    faults found = check_shape(document);
+    faults found = check_structure(document);
     if (!found.empty()) {
         return found;
     }
-    return check_meaning(document.get<bundle>());
+    return check_semantics(document.get<bundle>());
 }
 
 outcome<bundle> parse_bundle(const json& document) {
--- a/src/rollout/evidence.cpp
+++ b/src/rollout/evidence.cpp
@@ -14,8 +14,8 @@
 } // namespace
 
 std::string evidence_key(const fleet_view& view, const version_name& version) {
-    const std::vector<version_name> fresh = view.versions_under_rollout();
-    if (std::find(fresh.begin(), fresh.end(), version) == fresh.end()) {
+    const std::vector<version_name> new_versions = view.versions_under_rollout();
+    if (std::find(new_versions.begin(), new_versions.end(), version) == new_versions.end()) {
         return version;
     }
     return version + "#" + view.head().rolling + "/" +
--- a/src/rollout/release_rollout.cpp
+++ b/src/rollout/release_rollout.cpp
@@ -213,7 +213,7 @@
     counts.release = key.release;
     counts.route = key.route;
     ++counts.sent_in_rollout;
-    under_way_[key].insert(now);
+    attempts_in_flight_[key].insert(now);
     const auto found = rollouts_.find(key.service);
     const bool is_old = found == rollouts_.end() || found->second.order.release != key.release;
     if (is_old && is_in_trial_group(key.service, session)) {
@@ -223,7 +223,7 @@
 
 void rollout_tracker::on_finished(const release_route& key, const std::string& session, time_point now,
                                   std::optional<time_point> started_at, bool is_whole) {
-    std::multiset<time_point>& starts = under_way_[key];
+    std::multiset<time_point>& starts = attempts_in_flight_[key];
     const auto ended = started_at ? starts.find(*started_at) : starts.begin();
     if (ended != starts.end()) {
         starts.erase(ended);
@@ -288,7 +288,7 @@
 // proceed very slowly; it ends when its caller gives up or its deadline passes, which may be after the
 // cutover.
 void rollout_tracker::count_overdue(const rollout_record& rollout, time_point now) {
-    for (auto& [key, starts] : under_way_) {
+    for (auto& [key, starts] : attempts_in_flight_) {
         if (key.service != rollout.order.service || key.release != rollout.order.release) {
             continue;
         }
@@ -506,11 +506,11 @@
     rollout.is_on_trial =
         rollout.is_on_trial || (age > session_exchange_time && now - rollout.seen_at > session_exchange_time);
     // A release whose endpoints only crash gives no bad answers, so good ones are required.
-    const bool has_shown_itself =
+    const bool has_enough_good_answers =
         good_answers_of(rollout.order.service, rollout.order.release) >= min_good_answers;
     const bool is_second_half = age >= rollout.order.time_limit / 2;
-    const bool has_heard = has_all_counts_ && now - rollout.seen_at > count_exchange_time;
-    if (has_heard && is_second_half && has_shown_itself && !is_suspicious(rollout) &&
+    const bool knows_all_counts = has_all_counts_ && now - rollout.seen_at > count_exchange_time;
+    if (knows_all_counts && is_second_half && has_enough_good_answers && !is_suspicious(rollout) &&
         fits_exposure_bound(rollout, now)) {
         cut_over(rollout, now);
     }
@@ -548,9 +548,9 @@
         return rollout_state::rolled_back;
     }
     const bool has_settled = rollout.cut_over_at && now - *rollout.cut_over_at > min_time_after_cutover;
-    const bool is_last_moment = now - rollout.since > rollout.order.time_limit - report_margin;
+    const bool is_near_time_limit = now - rollout.since > rollout.order.time_limit - report_margin;
     const bool is_in_doubt = settings_.suspects && has_worsened(rollout);
-    if (has_settled && is_last_moment && !is_suspicious(rollout) && !is_in_doubt) {
+    if (has_settled && is_near_time_limit && !is_suspicious(rollout) && !is_in_doubt) {
         return rollout_state::completed;
     }
     if (rollout.order.state == rollout_state::ordered) {
--- a/src/rollout/release_rollout.h
+++ b/src/rollout/release_rollout.h
@@ -233,7 +233,8 @@
     std::map<std::string, std::map<std::string, int>> endpoints_;
     bool is_slow(const release_route& key, const response_timing& timing);
 
-    std::map<release_route, std::multiset<time_point>> under_way_; ///< start times of attempts in flight
+    std::map<release_route, std::multiset<time_point>>
+        attempts_in_flight_; ///< start times of attempts in flight
     /// Durations of whole answers of old releases in ms, by service and route.
     std::map<release_route, running_mean> mean_durations_;
     /// Times to the first byte on old releases, in ms or as a ratio to the prediction, by service and route.
--- a/src/rollout/session_memory.cpp
+++ b/src/rollout/session_memory.cpp
@@ -15,7 +15,7 @@
 
 void session_memory::on_started(const std::string& service, std::uint64_t session, time_point now) {
     last_use& entry = uses_[{service, session}];
-    ++entry.under_way;
+    ++entry.in_flight;
     entry.at = now;
     entry.is_unsent = true;
 }
@@ -26,7 +26,7 @@
         return;
     }
     last_use& entry = found->second;
-    entry.under_way = std::max(0, entry.under_way - 1);
+    entry.in_flight = std::max(0, entry.in_flight - 1);
     entry.at = now;
     entry.is_unsent = true;
 }
@@ -41,7 +41,7 @@
 bool session_memory::is_recent(const std::string& service, std::uint64_t session, time_point now) const {
     const auto found = uses_.find({service, session});
     return found != uses_.end() &&
-           (found->second.under_way > 0 || now - found->second.at < lifetime_ + expiry_margin);
+           (found->second.in_flight > 0 || now - found->second.at < lifetime_ + expiry_margin);
 }
 
 std::vector<session_use> session_memory::take_updates(time_point now) {
@@ -50,10 +50,10 @@
         if (!entry.is_unsent || updates.size() == max_updates_per_message) {
             continue;
         }
-        const duration age = entry.under_way > 0 ? duration::zero() : now - entry.at;
+        const duration age = entry.in_flight > 0 ? duration::zero() : now - entry.at;
         updates.push_back({name.first, name.second, std::chrono::duration_cast<milliseconds>(age).count()});
         // While a request is in flight its end is not known, so its session is sent again each time.
-        entry.is_unsent = entry.under_way > 0;
+        entry.is_unsent = entry.in_flight > 0;
     }
     return updates;
 }
@@ -61,7 +61,7 @@
 void session_memory::forget_old(time_point now) {
     for (auto item = uses_.begin(); item != uses_.end();) {
         const last_use& entry = item->second;
-        const bool is_over = entry.under_way == 0 && now - entry.at > lifetime_ + expiry_margin;
+        const bool is_over = entry.in_flight == 0 && now - entry.at > lifetime_ + expiry_margin;
         item = is_over ? uses_.erase(item) : std::next(item);
     }
 }
--- a/src/rollout/session_memory.h
+++ b/src/rollout/session_memory.h
@@ -48,7 +48,7 @@
 private:
     using key = std::pair<std::string, std::uint64_t>;
     struct last_use {
-        int under_way = 0;      ///< requests in flight at this host
+        int in_flight = 0;      ///< requests in flight at this host
         time_point at;          ///< when the last request began or ended, here or at another host
         bool is_unsent = false; ///< changed since it was last sent to the other hosts
     };
--- a/test/bundle_test.cpp
+++ b/test/bundle_test.cpp
@@ -68,7 +68,7 @@
 }
 
 // A misspelled key would otherwise be ignored without notice.
-TEST(bundle_check, shape_is_checked_against_the_published_schema) {
+TEST(bundle_check, structure_is_checked_against_the_published_schema) {
     json document = load_example("brazda-1.json");
     document["tems"] = json::array();
     EXPECT_FALSE(check_bundle(document).empty());
--- a/test/rollout_test.cpp
+++ b/test/rollout_test.cpp
@@ -18,7 +18,8 @@
 
 // Reports of entries reach the stewards late, duplicated and in different orders. All stewards must compute
 // the same sums, or one would brake a roll-out that another continues.
-RC_GTEST_PROP(evidence_pool, order_and_doubling_change_nothing, (const std::vector<std::uint8_t>& values)) {
+RC_GTEST_PROP(evidence_pool, order_and_duplicates_do_not_change_the_sums,
+              (const std::vector<std::uint8_t>& values)) {
     evidence_pool one;
     evidence_pool other;
     for (const std::uint8_t value : values) {
@@ -94,19 +95,19 @@
 
 // The time before or during a pause counts towards the bake time of the resumed roll-out.
 TEST(bake_timer, a_resumed_rollout_restarts_the_bake_time) {
-    bake_timer watch;
+    bake_timer timer;
     fleet_head head;
     head.rolling = "b";
     head.bundles["b"] = {"", "rolling", "", 0, 0.1, 1};
     const time_point begin{seconds(10)};
-    watch.observe(head, begin);
-    EXPECT_EQ(watch.elapsed(begin + seconds(5)), seconds(5));
+    timer.observe(head, begin);
+    EXPECT_EQ(timer.elapsed(begin + seconds(5)), seconds(5));
     head.bundles["b"].state = "paused";
-    watch.observe(head, begin + seconds(5));
-    EXPECT_EQ(watch.elapsed(begin + seconds(6)), duration::zero());
+    timer.observe(head, begin + seconds(5));
+    EXPECT_EQ(timer.elapsed(begin + seconds(6)), duration::zero());
     head.bundles["b"].state = "rolling";
-    watch.observe(head, begin + seconds(7));
-    EXPECT_EQ(watch.elapsed(begin + seconds(8)), seconds(1));
+    timer.observe(head, begin + seconds(7));
+    EXPECT_EQ(timer.elapsed(begin + seconds(8)), seconds(1));
 }
 
 } // namespace laurelhoist
--- a/test/routing_test.cpp
+++ b/test/routing_test.cpp
@@ -61,9 +61,9 @@
 // allowed.
 TEST(session_token, a_pin_that_is_not_allowed_is_replaced_by_an_allowed_version) {
     EXPECT_EQ(resolve_ladder(*sample_view(), {"osijek", "s", {{"nacrt", "7"}}, 1}).front(), "nacrt@1");
-    const std::vector<version_name> left =
+    const std::vector<version_name> remaining =
         resolve_ladder(*sample_view({{"nacrt@1", {}}}), {"osijek", "s", {}, 1});
-    EXPECT_EQ(left, std::vector<version_name>{"savjet@1"});
+    EXPECT_EQ(remaining, std::vector<version_name>{"savjet@1"});
 }
 
 // The cheap tier is chosen by its own cost alone, although a step up would miss the latency budget, is not
@@ -73,8 +73,8 @@
     EXPECT_EQ(choose_start(options, {0.95, 10000, true}), 0U);
     EXPECT_EQ(choose_start(options, {0.95, 10000, false}), 1U) << "a stream cannot step up";
     EXPECT_EQ(choose_start(options, {0.95, 350, true}), 1U) << "no time for both";
-    const std::vector<tier_option> hopeless{{18, 0.05, 0.05, 100}, {20, 0.98, 0.98, 300}};
-    EXPECT_EQ(choose_start(hopeless, {0.95, 10000, true}), 1U);
+    const std::vector<tier_option> mostly_failing{{18, 0.05, 0.05, 100}, {20, 0.98, 0.98, 300}};
+    EXPECT_EQ(choose_start(mostly_failing, {0.95, 10000, true}), 1U);
 }
 
 // A stream starts at a tier that misses the team's target although the last tier meets it.
