--- a/src/bundle/fleet_head.h
+++ b/src/bundle/fleet_head.h
@@ -62,7 +62,7 @@
     std::string established; ///< id of the bundle that serves all sessions outside a roll-out
     std::string rolling;     ///< id of the bundle that is being rolled out, or empty
     std::map<version_name, version_stop>
-        withdrawn; ///< versions withdrawn for good; entries are never removed
+        withdrawn; ///< versions withdrawn permanently; entries are never removed
     std::map<version_name, version_stop>
         braked; ///< versions stopped by the brake; a resume may remove entries
     std::vector<steward_record> stewards;
@@ -108,12 +108,14 @@
     /** The revision that the decision is based on; the command fails if the head has another one. */
     std::int64_t expected_revision = 0;
     std::string bundle_id;
-    std::string sha256;                 ///< of submit and sign_off
-    std::vector<version_name> versions; ///< of withdraw_version, brake and resume
+    std::string sha256;                 ///< content hash of the bundle, for submit and sign_off
+    std::vector<version_name> versions; ///< versions to withdraw or brake, or whose brake a resume lifts
     std::string reason;
-    int step = 0;           ///< of the kind step: index in the roll-out plan
-    double share = 0.0;     ///< of the kind step: the new share of sessions
-    steward_record steward; ///< of add_steward (replaces by name) and remove_steward (matches by incarnation)
+    int step = 0;       ///< for the kind step: index of the new step in the roll-out plan
+    double share = 0.0; ///< for the kind step: the new share of sessions
+    /// The steward to add, which replaces one of the same name, or to remove, which is matched by
+    /// incarnation.
+    steward_record steward;
 };
 LAUREL_VALUE_TYPE(fleet_command, kind, by, nonce, at_ms, expected_revision, bundle_id, sha256, versions,
                   reason, step, share, steward)
--- a/src/ledger/claim.h
+++ b/src/ledger/claim.h
@@ -15,10 +15,10 @@
 struct claim_record {
     std::string team;
     std::string key;
-    std::string attempt; ///< the only attempt that may run; each attempt of a caller has its own
+    std::string attempt; ///< id of the only attempt that may run; unique to each attempt of a caller
     std::string state = "claimed";
     std::string request_digest; ///< detects the reuse of a key for a different request
-    json answer;                ///< stored answer in the state done
+    json answer;                ///< answer that is stored in the state done
     int status = 0;             ///< HTTP status of the stored answer
 };
 LAUREL_VALUE_TYPE(claim_record, team, key, attempt, state, request_digest, answer, status)
--- a/src/rollout/brake.cpp
+++ b/src/rollout/brake.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-constexpr std::int64_t min_answers_for_baseline = 50; ///< of the established version, before they count
+/// With fewer rated or failed answers, the established version does not raise the baseline.
+constexpr std::int64_t min_answers_for_baseline = 50;
 constexpr double max_acceptable_bad_share = 0.9;
 constexpr double max_unacceptable_bad_share = 0.98;
 
--- a/src/rollout/evidence.h
+++ b/src/rollout/evidence.h
@@ -12,7 +12,7 @@
 
 /** Counts of one version at one entry since the entry started. */
 struct version_counts {
-    std::int64_t answers = 0; ///< whole answers received
+    std::int64_t answers = 0; ///< complete answers received
     std::int64_t rated = 0;
     std::int64_t below = 0;          ///< answers rated below the team's score
     std::int64_t failed = 0;         ///< errors attributed to the version
--- a/src/rollout/release_rollout.cpp
+++ b/src/rollout/release_rollout.cpp
@@ -41,7 +41,9 @@
 constexpr double tolerated_drop = 0.04; ///< a good release exceeds the old one's bad share by at most this
 constexpr double braked_drop = 0.25;    ///< a bad release exceeds the old one's bad share by at least this
 constexpr std::int64_t min_samples_for_mean = 20;
-constexpr double slow_factor = 4.0; ///< of the mean time to the first byte: a slower answer is bad
+/// An answer is slow only if its time to the first byte, as a ratio to the predicted time if there is one,
+/// exceeds the mean of the old release by this factor.
+constexpr double slow_factor = 4.0;
 /// Time to the first byte beyond reading the prompt: network, one engine step and the usual queueing.
 constexpr double fixed_overhead_ms = 50.0;
 constexpr double min_slow_excess_ms = 150.0; ///< a slow answer exceeds the expected time by at least this
@@ -49,8 +51,8 @@
 /// An attempt that takes this many times the mean duration is overdue. The longest prompts and answers take
 /// three times the mean.
 constexpr double overdue_factor = 4.0;
-/// Lower bound, because a silent endpoint is given up within this time, which is no evidence against its
-/// release.
+/// Lower bound of the time after which an attempt is overdue. A silent endpoint is abandoned within this
+/// time, and its silence is no evidence against its release.
 constexpr duration min_overdue = milliseconds(8000);
 constexpr duration default_overdue = milliseconds(10'000); ///< used until the mean duration is known
 
@@ -154,7 +156,8 @@
     return count;
 }
 
-// The load of one endpoint: it shows how the release behaves under the usual load and exposes few requests.
+// The share is at most the load of one old endpoint: it shows how the release behaves under the usual load
+// and exposes few requests.
 double rollout_tracker::new_trial_share(const rollout_order& order) const {
     const int old_endpoints = std::max(1, endpoints_of_other_releases(order.service, order.release));
     return std::min(
@@ -523,9 +526,9 @@
 }
 
 // Guards the report of completion against a release that fails only under full load, which it gets a second
-// before the time limit. A tenth of the answers failed by then, spread over routes and mixed with good
-// answers from before: too few for the sequential test of any route. If the release is sound after all, its
-// report is late.
+// before the time limit. In one such case a tenth of the answers had failed by then, spread over the routes
+// and mixed with earlier good answers: too few for the sequential test of any route. The cost is that the
+// report of a good release may be late.
 bool rollout_tracker::has_worsened(const rollout_record& rollout) const {
     const totals new_totals = total_of(rollout, "", true);
     const auto bad = static_cast<double>(new_totals.bad - rollout.totals_at_cutover.bad);
--- a/src/rollout/release_rollout.h
+++ b/src/rollout/release_rollout.h
@@ -5,10 +5,11 @@
  * Operators order a release and a time limit. At first the release is on trial: a small share of the requests
  * goes to it, of those without a session and of new sessions; a session that the old release has served
  * recently stays there. Trial requests go to few endpoints of the new release, so that each carries the load
- * that it will have after the cutover. Unless the evidence is against the release, the cutover (all requests
- * go to the new release) follows in the second half, as late as the exposure bound demands. The bound holds
- * even for a release whose faults have not shown yet: with the cutover at half of the time, a release that
- * fails only under load got half of all requests (667 of 1,299, with a bound of 225).
+ * that it will have after the cutover, at which all requests go to the new release. Unless the evidence is
+ * against the release, the cutover follows in the second half of the time, as late as the exposure bound
+ * demands. This bound is the largest share of the requests of a roll-out that a bad release may get. It holds
+ * even for a release whose faults have not shown yet: with a cutover at half of the time, a release that
+ * failed only under load got half of all requests (667 of 1,299, with a bound of 225).
  *
  * The roll-out is reported complete at the end of its time, because the old endpoints stop at that report,
  * without draining: until then a brake (an automatic rollback) falls back to them. Requests that still run on
@@ -37,7 +38,7 @@
     std::string service;
     std::string release;
     duration time_limit{};
-    std::int64_t revision = 0; ///< of the stored object that holds the order, for conditional writes
+    std::int64_t revision = 0; ///< revision of the stored object that holds the order, for conditional writes
     rollout_state state = rollout_state::ordered;
 };
 
@@ -135,10 +136,10 @@
     /** \return the releases that may serve \p request. */
     release_choice choose(const std::string& service, const routed_request& request, time_point now) const;
 
-    /** Records that an attempt was sent. \param session of the request; empty: none */
+    /** Records that an attempt was sent. \param session id of the request's session; empty: none */
     void on_started(const release_route& key, const std::string& session, time_point now);
     /** Records that an attempt has ended.
-     * \param started_at start of that attempt; without it the oldest one of \p key is meant
+     * \param started_at start of that attempt; if unset, the oldest attempt of \p key has ended
      * \param is_whole the attempt was answered completely, so that its duration counts towards the mean */
     void on_finished(const release_route& key, const std::string& session, time_point now,
                      std::optional<time_point> started_at = {}, bool is_whole = false);
@@ -178,10 +179,10 @@
         totals totals_at_cutover;              ///< answers of the new release before the cutover
         double trial_share = 0;                ///< share of the requests that use the release on trial
         bool is_on_trial = false;              ///< set once the hosts have exchanged their recent sessions
-        std::int64_t sent_before = 0;          ///< requests of the service at \ref counted_at
-        time_point counted_at;
-        double recent_per_ms = 0; ///< request rate of the service over the last rate window
-        bool has_moved = false;   ///< this host has cut over: all requests go to the new release
+        std::int64_t sent_before = 0; ///< requests of the service that were sent until \ref counted_at
+        time_point counted_at;        ///< start of the current rate window
+        double recent_per_ms = 0;     ///< request rate of the service over the last rate window
+        bool has_moved = false;       ///< this host has cut over: all requests go to the new release
         bool is_braked = false;
         std::map<std::string, totals> included; ///< by route: the answers that the evidence already includes
         std::map<std::string, double> evidence; ///< by route: log likelihood ratio of bad to good, at least 0
--- a/src/rollout/step_plan.h
+++ b/src/rollout/step_plan.h
@@ -23,7 +23,7 @@
     time_point since_;
 };
 
-/** What to do with a roll-out next. */
+/** The next action on a roll-out. */
 enum class step_action { wait, step, finish };
 
 /** Evidence about one version under roll-out. */
@@ -33,7 +33,7 @@
 };
 
 /** \param elapsed how long the current step has been in force
- * \param loaded whether the engines have loaded the capacity for the next share, rather than been told to
+ * \param loaded whether the engines have loaded the capacity for the next share; orders to load do not count
  * \param assessments one for each version under roll-out */
 step_action next_step(const bundle& rolling, const bundle_status& status, duration elapsed, bool loaded,
                       const std::vector<version_assessment>& assessments);
--- a/src/routing/quality_estimator.cpp
+++ b/src/routing/quality_estimator.cpp
@@ -7,11 +7,13 @@
 constexpr double signed_prior_weight = 8; ///< weight of the signed-off quality, in ratings
 /// Weight of the version's estimate as the prior of a team and kind, in ratings.
 constexpr double version_prior_weight = 15;
-constexpr double rating_decay = 0.995; ///< of older ratings at each new one: a window of some 200 ratings
+/// Factor by which the weight of older ratings falls at each new one: a window of some 200 ratings.
+constexpr double rating_decay = 0.995;
 constexpr std::size_t max_subjects = 20000; ///< when exceeded, only the estimates by version are kept
-constexpr double credit_decay = 0.998;     ///< of older answers at each new one: a window of some 500 answers
-constexpr double credit_min_answers = 100; ///< decayed count of answers that lowering the target requires
-constexpr double credit_margin = 0.01;     ///< the team's share must exceed its target by this
+/// Factor by which the weight of older answers falls at each new one: a window of some 500 answers.
+constexpr double credit_decay = 0.998;
+constexpr double credit_min_answers = 100;    ///< decayed count of answers that lowering the target requires
+constexpr double credit_margin = 0.01;        ///< the team's share must exceed its target by this
 constexpr double credit_max_shortfall = 0.15; ///< how far the target is lowered for streams
 
 } // namespace
--- a/test/rollout_test.cpp
+++ b/test/rollout_test.cpp
@@ -32,7 +32,7 @@
     RC_ASSERT(one.total("m@1") == other.total("m@1"));
 }
 
-// The test decides on too few answers, or does not decide on enough of them.
+// Guards against a test that decides on too few answers, or does not decide on enough of them.
 TEST(brake, brakes_a_bad_version_and_passes_a_good_one) {
     const brake_hypotheses hypotheses = hypotheses_for(0.9, {}, {});
     EXPECT_EQ(evaluate(counts_of(5, 1), hypotheses), brake_verdict::undecided);
@@ -65,7 +65,7 @@
     EXPECT_LT(false_brakes, rollouts / 1000);
 }
 
-// A roll-out takes its next step too early, or after it was paused or its version was found bad.
+// Guards against a next step that is taken too early, in a paused roll-out, or with a braked version.
 TEST(step_plan, a_step_waits_for_bake_time_capacity_and_evidence) {
     bundle rolling;
     rolling.rollout.steps = {{0.1, 1000}, {1.0, 1000}};
@@ -84,7 +84,8 @@
     EXPECT_EQ(next_step(rolling, status, milliseconds(9000), true, undecided), step_action::wait);
 }
 
-// The first step waits for answers that a version without traffic cannot have, or starts on unloaded engines.
+// The first step must not wait for answers, which a version without traffic cannot have, nor start before the
+// engines have loaded the models.
 TEST(step_plan, the_first_step_waits_only_for_loaded_capacity) {
     bundle rolling;
     rolling.rollout.steps = {{0.1, 1000}, {1.0, 1000}};
@@ -93,7 +94,7 @@
     EXPECT_EQ(next_step(rolling, status, duration{}, true, {}), step_action::step);
 }
 
-// The time before or during a pause counts towards the bake time of the resumed roll-out.
+// The time before and during a pause must not count towards the bake time of the resumed roll-out.
 TEST(bake_timer, a_resumed_rollout_restarts_the_bake_time) {
     bake_timer timer;
     fleet_head head;
@@ -161,8 +162,8 @@
     time_point start = time_point{} + seconds(100);
 };
 
-// A session changes release in the first half of a roll-out, although the old release has served it seconds
-// before, on this host or on another.
+// A session that the old release served seconds before, on this host or on another, must not change release
+// in the first half of a roll-out.
 TEST(release_rollout, recent_sessions_stay_on_the_old_release_in_the_first_half) {
     rollout_fixture rollout;
     for (int i = 0; i < 1000; ++i) {
@@ -182,7 +183,7 @@
     EXPECT_EQ(rollout.choice_of("session1", seconds(5)).excluded, "v2");
 }
 
-// Every request of a service carries a session, so the trial gets no requests unless new sessions take part.
+// If every request of a service carries a session, the trial gets no requests unless new sessions take part.
 TEST(release_rollout, a_share_of_new_sessions_uses_the_release_on_trial) {
     rollout_fixture rollout;
     rollout.advance(seconds(1));
@@ -203,7 +204,7 @@
         << "a retry does not use the release on trial";
 }
 
-// A good release is reported complete too early, while a brake may still need the old release, or not at all.
+// A good release must be reported complete, but not while a brake may still need the old release.
 TEST(release_rollout, a_good_release_is_complete_at_the_end_of_its_time) {
     rollout_fixture rollout;
     rollout.record("v1", 1000, 0);
@@ -230,7 +231,7 @@
     EXPECT_EQ(rollout.advance(milliseconds(23'550) - max_order_age), rollout_state::completed);
 }
 
-// A release fails only under full load: it gives 50 bad answers in the second after the cutover and is
+// A release that fails only under full load gives 50 bad answers in the second after the cutover and would be
 // reported complete on older counts. From the cutover to the report, hosts must send changed counts at once.
 TEST(release_rollout, awaits_completion_from_the_cutover_to_a_brake) {
     rollout_fixture rollout;
@@ -280,7 +281,7 @@
         << "a good release is reported complete, although late";
 }
 
-// A host without a roll-out keeps every session that it has served and runs out of memory.
+// A host without a roll-out must not keep every session that it has served, or it runs out of memory.
 TEST(release_rollout, sessions_expire_without_a_rollout) {
     rollout_tracker tracker;
     time_point now{seconds(100)};
@@ -295,8 +296,8 @@
     EXPECT_LT(tracker.remembered_sessions(), 300U) << "a fifth of the sessions of six seconds";
 }
 
-// A burst begins shortly before the cutover. At the mean rate of the roll-out the cutover stays within the
-// exposure bound; at the rate of the burst it does not.
+// A burst begins shortly before the cutover. At the mean rate of the roll-out, a cutover now would stay
+// within the exposure bound; at the rate of the burst it would not.
 TEST(release_rollout, a_burst_delays_the_cutover) {
     rollout_fixture steady;
     rollout_fixture burst;
@@ -314,8 +315,9 @@
     EXPECT_LT(burst.share_of_sessions(milliseconds(21'750)), 0.1);
 }
 
-// A release fails half of its requests under full load. Reported complete 0.75 s after the cutover, with a
-// dozen failures on eight hosts, it could not be braked any more, because the old endpoints had stopped.
+// A release that fails half of its requests under full load must not be reported complete while there is
+// evidence against it: the old endpoints then stop, so it cannot be braked any more. One was reported
+// complete 0.75 s after the cutover, with a dozen failures on eight hosts.
 TEST(release_rollout, a_suspicious_release_is_not_reported_complete) {
     rollout_fixture rollout;
     rollout.record("v1", 1000, 0);
@@ -329,8 +331,8 @@
     EXPECT_EQ(rollout.advance(milliseconds(23'500)), rollout_state::rolled_back);
 }
 
-// A release that fails only under load looks good during its trial and gets half of all requests if the
-// cutover comes at half of the time, whether its faults show then or never. Load pattern: 50 requests a
+// A release that fails only under load looks good during its trial, and would get half of all requests if the
+// cutover came at half of the time. The bound must hold without any bad answer. Load pattern: 50 requests a
 // second, also with the rate doubled in the last third of the time.
 TEST(release_rollout, the_exposure_bound_holds_without_any_evidence) {
     for (const bool has_burst : {false, true}) {
@@ -361,7 +363,7 @@
     }
 }
 
-// A release fails every second request, and goes on getting requests.
+// A release that fails every second request must not go on getting requests.
 TEST(release_rollout, a_bad_release_is_braked_within_few_answers) {
     rollout_fixture rollout;
     rollout.record("v1", 200, 50);
@@ -370,8 +372,8 @@
     EXPECT_EQ(rollout.choice_of("").excluded, "v2");
 }
 
-// Every endpoint of a new release crashes at its first request, so there are neither bad answers nor good
-// ones.
+// Every endpoint of a new release crashes at its first request, so there are neither bad nor good answers.
+// The absence of bad answers must not lead to the cutover.
 TEST(release_rollout, a_release_without_answers_does_not_get_all_requests) {
     rollout_fixture rollout;
     rollout.record("v1", 200, 0);
@@ -391,7 +393,7 @@
     EXPECT_EQ(rollout.advance(seconds(14)), rollout_state::rolled_back);
 }
 
-// Each host sees too few bad answers to brake a release on its own.
+// Each host alone sees too few bad answers to brake a release, so the counts must be added up.
 TEST(release_rollout, counts_of_other_hosts_brake_a_release) {
     rollout_fixture rollout;
     rollout.record("v1", 100, 50);
@@ -401,7 +403,7 @@
     EXPECT_EQ(rollout.advance(seconds(2)), rollout_state::rolled_back);
 }
 
-// The service itself fails one request in seven, and a release that is no worse is braked for it.
+// The old release fails one request in seven. A new release that is no worse must not be braked for it.
 TEST(release_rollout, a_release_no_worse_than_the_old_one_is_not_braked) {
     rollout_fixture rollout;
     rollout.record("v1", 700, 7);
@@ -410,7 +412,7 @@
 }
 
 // A small model answers in 40 ms and a large one in 500 ms. A host that compares both with the small model's
-// time brakes a good release because a quarter of its answers come from the large one.
+// time would brake a good release because a quarter of its answers come from the large one.
 TEST(release_rollout, answers_of_a_larger_model_do_not_count_as_slow) {
     rollout_fixture rollout;
     for (int i = 0; i < 60; ++i) {
@@ -421,7 +423,8 @@
     EXPECT_EQ(rollout.advance(seconds(3)), rollout_state::running);
 }
 
-// Half of the answers of a release begin eight times as late as usual, without any error.
+// Half of the answers of a release begin eight times as late as usual, without any error. This must count as
+// evidence against it.
 TEST(release_rollout, a_release_that_takes_eight_times_as_long_is_braked) {
     rollout_fixture rollout;
     for (int i = 0; i < 60; ++i) {
@@ -443,7 +446,8 @@
 }
 
 // One host brakes a release in the same second in which another reports it complete. The old endpoints stop
-// at that report, so a host that follows the brake refuses every request although the new endpoints are idle.
+// at that report, so a host that followed the brake would refuse every request although the new endpoints are
+// idle.
 TEST(release_rollout, completion_in_the_store_takes_precedence_over_a_brake) {
     rollout_fixture rollout;
     rollout.tracker.merge("h2/1", {}, {{"pool", "v2", 16'000, true}}, rollout.start + seconds(1));
@@ -467,9 +471,9 @@
     EXPECT_EQ(rollout.share_of_sessions(seconds(2)), 1.0);
 }
 
-// Each of 295 hosts hears from three others every 0.4 s. A host that has the counts of a third of them takes
-// those that arrive late for a burst and never cuts over, or underestimates the exposure. Only a host with
-// the counts of all hosts decides, and the others follow it.
+// Each of 295 hosts hears from three others every 0.4 s. A host that has the counts of a third of them would
+// take counts that arrive late for a burst and never cut over, or would underestimate the exposure. So only a
+// host with the counts of all hosts decides, and the others follow it.
 TEST(release_rollout, only_a_host_with_all_counts_starts_the_cutover) {
     rollout_fixture rollout;
     rollout.record("v1", 2000, 0);
@@ -502,7 +506,7 @@
     EXPECT_EQ(rollout.advance(milliseconds(10'100)), rollout_state::rolled_back);
 }
 
-// No endpoint runs the new release yet, and requests wait for one.
+// While no endpoint runs the new release yet, requests must not wait for one.
 TEST(release_rollout, the_old_release_serves_while_the_new_one_has_no_endpoints) {
     rollout_fixture rollout;
     rollout.tracker.set_endpoint_counts("pool", {{"v1", 10}});
--- a/test/routing_test.cpp
+++ b/test/routing_test.cpp
@@ -39,13 +39,13 @@
 
 } // namespace
 
-// A session loses its pinned versions when the caller sends its token to another entry host.
+// A session must keep its pinned versions when the caller sends its token to another entry host.
 TEST(session_token, a_token_carries_the_pins_back_unchanged) {
     const session_pins pins{"osijek", "s1", {{"nacrt", "1"}}, 7};
     EXPECT_EQ(read_session(encode_session(pins, key), "osijek", key, "fresh"), pins);
 }
 
-// A caller presents another team's token, or an altered one, to reach a version that it may not use.
+// A caller must not reach a version that it may not use with an altered token or the token of another team.
 TEST(session_token, an_altered_or_foreign_token_pins_nothing) {
     const std::string token = encode_session({"osijek", "s1", {{"nacrt", "9"}}, 7}, key);
     EXPECT_TRUE(read_session(token, "vukovar", key, "fresh").version_by_model.empty());
@@ -66,8 +66,8 @@
     EXPECT_EQ(remaining, std::vector<version_name>{"savjet@1"});
 }
 
-// The cheap tier is chosen by its own cost alone, although a step up would miss the latency budget, is not
-// possible for a stream, or is needed so often that starting at the costly tier is cheaper.
+// The cheap tier must not be chosen by its own cost alone: a step up may miss the latency budget, is not
+// possible for a stream, or may be needed so often that starting at the costly tier is cheaper.
 TEST(tier_choice, includes_the_expected_cost_of_a_step_up) {
     const std::vector<tier_option> options{{1, 0.8, 0.8, 100}, {20, 0.98, 0.98, 300}};
     EXPECT_EQ(choose_start(options, {0.95, 10000, true}), 0U);
@@ -77,7 +77,7 @@
     EXPECT_EQ(choose_start(mostly_failing, {0.95, 10000, true}), 1U);
 }
 
-// A stream starts at a tier that misses the team's target although the last tier meets it.
+// A stream must not start at a tier that misses the team's target if the last tier meets it.
 RC_GTEST_PROP(tier_choice, never_misses_a_target_that_the_costliest_meets, ()) {
     std::vector<tier_option> options;
     const auto count = *rc::gen::inRange(1, 5);
@@ -91,7 +91,7 @@
     RC_ASSERT(options[start].chance >= target - 0.011);
 }
 
-// The quality of a version changes, but its many older ratings keep the estimate where it was.
+// When the quality of a version changes, its many older ratings must not keep the estimate where it was.
 TEST(quality_estimator, follows_recent_ratings) {
     quality_estimator estimator;
     const quality_estimator::subject subject{"t", "k", "m@1", false};
@@ -106,7 +106,7 @@
     EXPECT_GT(estimator.chance(subject, 0.8), 0.9);
 }
 
-// Every request fails and is retried, which multiplies the load of a pool.
+// If every request fails, retries must not multiply the load of a pool.
 TEST(retry_budget, retries_are_a_share_of_first_attempts) {
     retry_budget budget;
     int taken = 0;
@@ -137,7 +137,7 @@
     EXPECT_EQ(queue.pop(weight, always), "s");
 }
 
-// Two teams have requests waiting, and the slots are not divided by their weights.
+// While two teams have requests waiting, the slots must be divided by their weights.
 RC_GTEST_PROP(fair_queue, shares_follow_weights, ()) {
     const int weight_a = *rc::gen::inRange(1, 6);
     fair_queue queue;
@@ -167,7 +167,8 @@
     EXPECT_FALSE(table.takes_work("a"));
 }
 
-// An endpoint that keeps failing goes on getting requests, or gets many at once when its ejection ends.
+// An endpoint that keeps failing must not go on getting requests, nor get many at once when its ejection
+// ends.
 TEST(endpoint_table, a_failing_endpoint_is_ejected_and_probed_with_one_call) {
     endpoint_table table = make_table();
     table.update({three_endpoints()[0]}, begin);
@@ -183,7 +184,8 @@
     EXPECT_EQ(choose(table, begin + seconds(3)), "a");
 }
 
-// A request goes to an endpoint that has to read the whole prompt, while an equally loaded one has it cached.
+// A request must not go to an endpoint that has to read the whole prompt while an equally loaded one has it
+// cached.
 TEST(endpoint_table, a_cached_prefix_is_preferred_while_the_load_is_even) {
     endpoint_table table = make_table();
     table.update(three_endpoints(), begin);
@@ -198,7 +200,8 @@
     }
 }
 
-// A request goes to an endpoint that has reported other versions or has answered that it lacks this one.
+// A request must not go to an endpoint that has reported other versions or has answered that it lacks this
+// one.
 TEST(endpoint_table, an_endpoint_without_the_version_is_not_chosen) {
     endpoint_table table = make_table();
     table.update(three_endpoints(), begin);
@@ -254,7 +257,8 @@
 }
 
 // A release of 96 endpoints is on trial, and 295 hosts of six domains send their trial requests to the same
-// endpoint without knowing each other's load. It is slow only for that reason, and a good release is braked.
+// endpoint without knowing each other's load. It would be slow only for that reason, and a good release would
+// be braked.
 TEST(endpoint_table, a_trial_on_a_large_fleet_has_an_endpoint_in_each_domain) {
     const auto kept = [](int endpoints, int domains) {
         endpoint_table table = make_table();
