--- a/src/routing/endpoint_table.cpp
+++ b/src/routing/endpoint_table.cpp
@@ -303,8 +303,8 @@
 
 void endpoint_table::eject(endpoint_state& endpoint, time_point now) {
     const int doublings = std::min(4, endpoint.failures - failures_to_eject);
-    const duration rest = first_ejection * (1 << std::max(0, doublings));
-    endpoint.ejected_until = now + std::min(rest, max_ejection);
+    const duration ejection_time = first_ejection * (1 << std::max(0, doublings));
+    endpoint.ejected_until = now + std::min(ejection_time, max_ejection);
     apply_event(endpoint, "failed");
 }
 
--- a/test/base_test.cpp
+++ b/test/base_test.cpp
@@ -28,7 +28,7 @@
     EXPECT_EQ(base64url_decode("not base64!"), "");
 }
 
-TEST(settings, addresses) {
+TEST(settings, an_address_is_an_ip_number_with_a_port) {
     const outcome<socket_address> good = parse_address("127.0.0.1:8080");
     ASSERT_NE(value_of(good), nullptr);
     EXPECT_EQ(value_of(good)->port, 8080);
