--- a/src/rollout/release_rollout.cpp
+++ b/src/rollout/release_rollout.cpp
@@ -41,7 +41,9 @@
 constexpr double tolerated_drop = 0.04; ///< a good release exceeds the old one's bad share by at most this
 constexpr double braked_drop = 0.25;    ///< a bad release exceeds the old one's bad share by at least this
 constexpr std::int64_t min_samples_for_mean = 20;
-constexpr double slow_factor = 4.0; ///< of the mean time to the first byte: a slower answer is bad
+/// An answer is slow only if its time to the first byte, as a ratio to the predicted time if there is one,
+/// exceeds the mean of the old release by this factor.
+constexpr double slow_factor = 4.0;
 /// Time to the first byte beyond reading the prompt: network, one engine step and the usual queueing.
 constexpr double fixed_overhead_ms = 50.0;
 constexpr double min_slow_excess_ms = 150.0; ///< a slow answer exceeds the expected time by at least this
@@ -49,8 +51,8 @@
 /// An attempt that takes this many times the mean duration is overdue. The longest prompts and answers take
 /// three times the mean.
 constexpr double overdue_factor = 4.0;
-/// Lower bound, because a silent endpoint is given up within this time, which is no evidence against its
-/// release.
+/// Lower bound of the time after which an attempt is overdue. A silent endpoint is abandoned within this
+/// time, and its silence is no evidence against its release.
 constexpr duration min_overdue = milliseconds(8000);
 constexpr duration default_overdue = milliseconds(10'000); ///< used until the mean duration is known
 
@@ -154,7 +156,8 @@
     return count;
 }
 
-// The load of one endpoint: it shows how the release behaves under the usual load and exposes few requests.
+// The share is at most the load of one old endpoint: it shows how the release behaves under the usual load
+// and exposes few requests.
 double rollout_tracker::new_trial_share(const rollout_order& order) const {
     const int old_endpoints = std::max(1, endpoints_of_other_releases(order.service, order.release));
     return std::min(
@@ -213,7 +216,7 @@
     counts.release = key.release;
     counts.route = key.route;
     ++counts.sent_in_rollout;
-    under_way_[key].insert(now);
+    attempts_in_flight_[key].insert(now);
     const auto found = rollouts_.find(key.service);
     const bool is_old = found == rollouts_.end() || found->second.order.release != key.release;
     if (is_old && is_in_trial_group(key.service, session)) {
@@ -223,7 +226,7 @@
 
 void rollout_tracker::on_finished(const release_route& key, const std::string& session, time_point now,
                                   std::optional<time_point> started_at, bool is_whole) {
-    std::multiset<time_point>& starts = under_way_[key];
+    std::multiset<time_point>& starts = attempts_in_flight_[key];
     const auto ended = started_at ? starts.find(*started_at) : starts.begin();
     if (ended != starts.end()) {
         starts.erase(ended);
@@ -288,7 +291,7 @@
 // proceed very slowly; it ends when its caller gives up or its deadline passes, which may be after the
 // cutover.
 void rollout_tracker::count_overdue(const rollout_record& rollout, time_point now) {
-    for (auto& [key, starts] : under_way_) {
+    for (auto& [key, starts] : attempts_in_flight_) {
         if (key.service != rollout.order.service || key.release != rollout.order.release) {
             continue;
         }
@@ -506,11 +509,11 @@
     rollout.is_on_trial =
         rollout.is_on_trial || (age > session_exchange_time && now - rollout.seen_at > session_exchange_time);
     // A release whose endpoints only crash gives no bad answers, so good ones are required.
-    const bool has_shown_itself =
+    const bool has_enough_good_answers =
         good_answers_of(rollout.order.service, rollout.order.release) >= min_good_answers;
     const bool is_second_half = age >= rollout.order.time_limit / 2;
-    const bool has_heard = has_all_counts_ && now - rollout.seen_at > count_exchange_time;
-    if (has_heard && is_second_half && has_shown_itself && !is_suspicious(rollout) &&
+    const bool knows_all_counts = has_all_counts_ && now - rollout.seen_at > count_exchange_time;
+    if (knows_all_counts && is_second_half && has_enough_good_answers && !is_suspicious(rollout) &&
         fits_exposure_bound(rollout, now)) {
         cut_over(rollout, now);
     }
@@ -523,9 +526,9 @@
 }
 
 // Guards the report of completion against a release that fails only under full load, which it gets a second
-// before the time limit. A tenth of the answers failed by then, spread over routes and mixed with good
-// answers from before: too few for the sequential test of any route. If the release is sound after all, its
-// report is late.
+// before the time limit. In one such case a tenth of the answers had failed by then, spread over the routes
+// and mixed with earlier good answers: too few for the sequential test of any route. The cost is that the
+// report of a good release may be late.
 bool rollout_tracker::has_worsened(const rollout_record& rollout) const {
     const totals new_totals = total_of(rollout, "", true);
     const auto bad = static_cast<double>(new_totals.bad - rollout.totals_at_cutover.bad);
@@ -548,9 +551,9 @@
         return rollout_state::rolled_back;
     }
     const bool has_settled = rollout.cut_over_at && now - *rollout.cut_over_at > min_time_after_cutover;
-    const bool is_last_moment = now - rollout.since > rollout.order.time_limit - report_margin;
+    const bool is_near_time_limit = now - rollout.since > rollout.order.time_limit - report_margin;
     const bool is_in_doubt = settings_.suspects && has_worsened(rollout);
-    if (has_settled && is_last_moment && !is_suspicious(rollout) && !is_in_doubt) {
+    if (has_settled && is_near_time_limit && !is_suspicious(rollout) && !is_in_doubt) {
         return rollout_state::completed;
     }
     if (rollout.order.state == rollout_state::ordered) {
