--- a/src/node/entry_allowance.cpp
+++ b/src/node/entry_allowance.cpp
@@ -11,8 +11,8 @@
 }
 
 void entry_core::apply_statement(const context& request, const endpoint_statement& statement) {
-    const statement_effects news = allowance_.note(request.endpoint, statement, request.call_started, now_);
-    if (!news.is_limit_changed && !news.has_back_off && !news.is_newly_leaving) {
+    const statement_effects effects = allowance_.note(request.endpoint, statement, request.call_started, now_);
+    if (!effects.is_limit_changed && !effects.has_back_off && !effects.is_newly_leaving) {
         return;
     }
     constexpr double no_limit = -1;
@@ -22,7 +22,7 @@
                                     {"requests_per_s", statement.rate_limit.value_or(no_limit)},
                                     {"rest_ms", to_ms(statement.back_off.value_or(duration::zero()))},
                                     {"is_leaving", statement.is_leaving}});
-    if (news.is_newly_leaving) {
+    if (effects.is_newly_leaving) {
         announce_leaving_endpoint(request.endpoint.name);
     }
 }
@@ -37,8 +37,8 @@
 }
 
 int entry_core::retry_after_ms(const context& request) const {
-    const duration room = allowance_.time_until_available(request.pool, now_).value_or(duration::zero());
-    return static_cast<int>(to_ms(room));
+    const duration wait = allowance_.time_until_available(request.pool, now_).value_or(duration::zero());
+    return static_cast<int>(to_ms(wait));
 }
 
 } // namespace laurelhoist
--- a/src/node/entry_core.cpp
+++ b/src/node/entry_core.cpp
@@ -258,8 +258,8 @@
         fire(*id, "expired");
         return true;
     }
-    endpoint_criteria wish = wish_for(request);
-    std::optional<endpoint_record> endpoint = endpoints_.choose(wish, now_, allowed_within(duration::zero()));
+    endpoint_criteria criteria = criteria_for(request);
+    std::optional<endpoint_record> endpoint = endpoints_.choose(criteria, now_, allowed_within(duration::zero()));
     if (!endpoint) {
         endpoint = endpoints_.choose(any, now_, allowed_within(duration::zero()));
     }
@@ -268,7 +268,7 @@
     return true;
 }
 
-endpoint_criteria entry_core::wish_for(const context& request) const {
+endpoint_criteria entry_core::criteria_for(const context& request) const {
     return {request.pool, request.is_service() ? "" : request.version(), request.incoming.prefix,
             request.avoided};
 }
@@ -396,7 +396,7 @@
     request.endpoint = endpoint;
     request_by_call_[call.call_id] = request.id;
     ++team_in_flight_[request.team.name];
-    endpoints_.on_call_started(endpoint.name, wish_for(request), now_);
+    endpoints_.on_call_started(endpoint.name, criteria_for(request), now_);
     allowance_.on_sent(endpoint.name, now_);
     metrics_.count("dispatches");
     metrics_.time("queue_wait", now_ - request.queued_since);
@@ -478,8 +478,8 @@
         record_broken_call(request, answer);
     }
     // A refusal that asks for a back-off is no failure of the endpoint.
-    const bool asks_for_rest = result == call_result::refused_not_run && answer.statement.back_off;
-    end_call(request, asks_for_rest ? call_result::cancelled : result);
+    const bool asks_for_back_off = result == call_result::refused_not_run && answer.statement.back_off;
+    end_call(request, asks_for_back_off ? call_result::cancelled : result);
     if (is_certain_not_run || answer.version_missing) {
         // "Not run" may be reported to the caller only if no earlier call of this request may have run.
         request.may_have_run = request.earlier_may_have_run;
--- a/src/node/entry_core.h
+++ b/src/node/entry_core.h
@@ -196,7 +196,7 @@
     void dispatch_queue(const std::string& queue_name);
     bool try_dispatch_next(const std::string& queue_name);
     void start_call(context& request, const endpoint_record& endpoint);
-    endpoint_criteria wish_for(const context& request) const;
+    endpoint_criteria criteria_for(const context& request) const;
     void end_call(context& request, call_result result);
     bool is_rater_unavailable() const { return missed_ratings_ >= max_missed_ratings; }
     void record_answer(context& request, const endpoint_answer& answer);
--- a/src/node/entry_quarantine.cpp
+++ b/src/node/entry_quarantine.cpp
@@ -21,8 +21,8 @@
 // all other requests there are lost too, and the caller repeats the request. Counts the calls whose
 // connection broke before any part of the answer arrived.
 void entry_core::record_broken_call(const context& request, const endpoint_answer& answer) {
-    const bool came_to_nothing = answer.status == 0 && request.parts_streamed == 0 && answer.text.empty();
-    if (answer.is_silent || !came_to_nothing) {
+    const bool has_no_answer = answer.status == 0 && request.parts_streamed == 0 && answer.text.empty();
+    if (answer.is_silent || !has_no_answer) {
         return;
     }
     const request_digest key = quarantine_key(request);
--- a/src/node/steward_core.h
+++ b/src/node/steward_core.h
@@ -167,8 +167,8 @@
     // Roll-out (steward_rollout.cpp).
     void advance_rollout();
     void apply_brake(const std::vector<version_name>& bad);
-    std::vector<version_name> bad_versions(const std::vector<version_assessment>& standings) const;
-    std::vector<version_assessment> standings() const;
+    std::vector<version_name> bad_versions(const std::vector<version_assessment>& assessments) const;
+    std::vector<version_assessment> assessments() const;
     std::vector<model_entry> established_models() const;
     void start_rollout_command(step_action action);
     bool is_my_turn(duration waited) const;
@@ -227,7 +227,7 @@
     bool is_writing_counts_ = false;
 
     evidence_pool evidence_;
-    bake_timer step_watch_;
+    bake_timer bake_timer_;
     time_point pending_action_since_;
     std::string pending_action_;
     std::map<std::string, std::vector<version_name>> loaded_;
--- a/src/node/steward_rollout.cpp
+++ b/src/node/steward_rollout.cpp
@@ -19,7 +19,7 @@
 
 } // namespace
 
-std::vector<version_assessment> steward_core::standings() const {
+std::vector<version_assessment> steward_core::assessments() const {
     std::vector<version_assessment> all;
     for (const version_name& version : view_->versions_under_rollout()) {
         const model_entry* model = view_->model(version);
@@ -41,11 +41,11 @@
     return view_->established() == nullptr ? std::vector<model_entry>{} : view_->established()->models;
 }
 
-std::vector<version_name> steward_core::bad_versions(const std::vector<version_assessment>& standings) const {
+std::vector<version_name> steward_core::bad_versions(const std::vector<version_assessment>& assessments) const {
     std::vector<version_name> bad;
     const std::vector<version_name> versions = view_->versions_under_rollout();
     for (std::size_t i = 0; i < versions.size(); ++i) {
-        if (standings[i].verdict == brake_verdict::braked && !view_->is_stopped(versions[i])) {
+        if (assessments[i].verdict == brake_verdict::braked && !view_->is_stopped(versions[i])) {
             bad.push_back(versions[i]);
         }
     }
@@ -65,15 +65,15 @@
 }
 
 void steward_core::advance_rollout() {
-    step_watch_.observe(view_->head(), now_);
+    bake_timer_.observe(view_->head(), now_);
     if (view_->rolling() == nullptr || host_state_ != "serving") {
         return;
     }
-    const std::vector<version_assessment> known = standings();
+    const std::vector<version_assessment> known = assessments();
     const std::vector<version_name> bad = bad_versions(known);
     const bundle_status& status = view_->head().bundles.at(view_->head().rolling);
     const step_action action =
-        next_step(*view_->rolling(), status, step_watch_.elapsed(now_), is_loaded_for_next_step(), known);
+        next_step(*view_->rolling(), status, bake_timer_.elapsed(now_), is_loaded_for_next_step(), known);
     const std::string action_name = !bad.empty() ? "brake" : action == step_action::wait ? "" : "step";
     const std::string action_key = action_name.empty() ? "" : action_name + std::to_string(view_->revision());
     if (action_key != pending_action_) {
--- a/src/simulation/fake_endpoint.cpp
+++ b/src/simulation/fake_endpoint.cpp
@@ -33,10 +33,10 @@
         return;
     }
     arrivals.push_back(clock_.now());
-    if (says.back_off) {
-        endpoint_answer resting = refusal(call_result::refused_not_run);
-        resting.statement = says;
-        to.on_answer(resting);
+    if (statement.back_off) {
+        endpoint_answer back_off_refusal = refusal(call_result::refused_not_run);
+        back_off_refusal.statement = statement;
+        to.on_answer(back_off_refusal);
         return;
     }
     if (is_leaving) {
@@ -186,7 +186,7 @@
     answer.request_id = work->call.request_id;
     answer.status = 200;
     answer.report = report();
-    answer.statement = says;
+    answer.statement = statement;
     std::string marker = work->call.body.value("marker", "");
     if (mixes_answers && random_.chance(0.3)) {
         answer.request_id = "req-of-another";
--- a/src/simulation/fake_endpoint.h
+++ b/src/simulation/fake_endpoint.h
@@ -47,7 +47,7 @@
     std::string crash_marker; ///< marker of the requests that crash this endpoint; empty: none
     bool is_silent = false;   ///< accepts calls but never answers
     bool is_leaving = false;  ///< refuses new calls and names the reason
-    endpoint_statement says;  ///< sent with each answer; while it asks for a back-off, every call is refused
+    endpoint_statement statement;  ///< sent with each answer; while it asks for a back-off, every call is refused
     std::vector<time_point> arrivals; ///< arrival time of each call that finds the process up
     bool names_wrong_version = false;
     bool mixes_answers = false; ///< answers some calls with another request's answer
--- a/src/simulation/world.h
+++ b/src/simulation/world.h
@@ -67,7 +67,7 @@
     std::size_t entry = 0;
     std::string entry_incarnation;
     std::string text; ///< text of the stream received so far
-    bool has_first = false;
+    bool has_first_part = false;
     int parts = 0;
 };
 
--- a/src/simulation/world_callers.cpp
+++ b/src/simulation/world_callers.cpp
@@ -228,8 +228,8 @@
     operation& op = found->second;
     switch (part.what) {
     case stream_part::kind::text:
-        if (!op.has_first) {
-            op.has_first = true;
+        if (!op.has_first_part) {
+            op.has_first_part = true;
             report_.first_token_ms.push_back(to_ms(clock.now() - op.began));
         }
         op.text += part.text;
@@ -320,8 +320,8 @@
         // reply may name another version.
         const bool is_overtaken = done.began < session_changed_[session.id];
         // The reply says that the pinned version was not allowed when the request was admitted.
-        const bool is_told = reply.moved_from == held->second;
-        invariant("session_keeps_version", !was_allowed || is_overtaken || is_told, [&] {
+        const bool is_move_announced = reply.moved_from == held->second;
+        invariant("session_keeps_version", !was_allowed || is_overtaken || is_move_announced, [&] {
             return json{{"session", session.id},
                         {"from", held->second},
                         {"to", reply.version},
--- a/src/standin/plain_service.cpp
+++ b/src/standin/plain_service.cpp
@@ -7,8 +7,8 @@
 }
 
 plain_service::plain_service(event_loop& loop, const socket_address& address, std::string name,
-                             calls_by_reference& done)
-    : loop_{loop}, name_{std::move(name)}, done_{done} {
+                             calls_by_reference& run_counts)
+    : loop_{loop}, name_{std::move(name)}, run_counts_{run_counts} {
     server_ =
         listen_or_exit(loop, "config", address, {},
                        [this](const http_request& request, const std::shared_ptr<http_responder>& responder) {
@@ -25,7 +25,7 @@
     }
     const json body = json::parse(request.body, nullptr, false);
     const std::string reference = body.is_object() ? body.value("reference", "") : "";
-    ++done_[reference];
+    ++run_counts_[reference];
     if (faults_.mode == "silent") {
         return;
     }
--- a/src/standin/plain_service.h
+++ b/src/standin/plain_service.h
@@ -20,7 +20,7 @@
 class plain_service {
 public:
     plain_service(event_loop& loop, const socket_address& address, std::string name,
-                  calls_by_reference& done);
+                  calls_by_reference& run_counts);
     void set_faults(const service_faults& faults) { faults_ = faults; }
     const std::string& name() const { return name_; }
 
@@ -29,7 +29,7 @@
 
     event_loop& loop_;
     std::string name_;
-    calls_by_reference& done_;
+    calls_by_reference& run_counts_;
     service_faults faults_;
     std::unique_ptr<http_server> server_;
 };
--- a/test/node_test.cpp
+++ b/test/node_test.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-world_options quiet_options() {
+world_options options_without_load() {
     world_options options;
     options.requests_per_second = 0;
     options.callers_retry = false;
@@ -19,20 +19,20 @@
 }
 
 operation booking(const std::string& key, const std::string& marker) {
-    operation wish;
-    wish.is_service = true;
-    wish.is_idempotent = false;
-    wish.service_path = "book";
-    wish.key = key;
-    wish.marker = marker;
-    return wish;
+    operation op;
+    op.is_service = true;
+    op.is_idempotent = false;
+    op.service_path = "book";
+    op.key = key;
+    op.marker = marker;
+    return op;
 }
 
 operation question(double difficulty = 0.1, bool stream = false) {
-    operation wish;
-    wish.difficulty = difficulty;
-    wish.stream = stream;
-    return wish;
+    operation op;
+    op.difficulty = difficulty;
+    op.stream = stream;
+    return op;
 }
 
 std::string ran_of(const caller_reply* reply) {
@@ -131,7 +131,7 @@
 // configuration comes into force. A notice that applied to a revision would be lifted by it, and the bad
 // version would receive work again.
 TEST_F(failure, a_brake_outlasts_an_unrelated_change_of_configuration) {
-    world simulated{quiet_options()};
+    world simulated{options_without_load()};
     simulated.start();
     const version_name bad = simulated.roll_bundle(0.3);
     simulated.run_for(seconds(8));
@@ -174,7 +174,7 @@
 // An entry is cut off from all others just before a version is withdrawn, while callers still reach it. After
 // the freshness limit it must refuse requests as not run instead of serving the withdrawn version.
 TEST_F(failure, a_cut_off_entry_stops_serving_before_a_withdrawal_counts) {
-    world simulated{quiet_options()};
+    world simulated{options_without_load()};
     simulated.start();
     simulated.isolate("entry-0", seconds(30));
     simulated.run_for(milliseconds(100));
@@ -192,7 +192,7 @@
 // An entry is paused for seconds (its machine swaps or is migrated) while a version is withdrawn. It resumes
 // with queued requests and a configuration that looks fresh unless its age is evaluated again.
 TEST_F(failure, a_paused_entry_checks_its_configuration_again_before_it_sends) {
-    world simulated{quiet_options()};
+    world simulated{options_without_load()};
     simulated.start();
     simulated.pause_entry(0, seconds(10));
     const std::uint64_t asked = simulated.ask(0, question());
@@ -206,7 +206,7 @@
 // accepted, and a steward that restarts during the outage must not count towards a majority, since it has
 // lost what it had accepted.
 TEST_F(failure, a_long_outage_of_the_platform_stops_no_request) {
-    world simulated{quiet_options()};
+    world simulated{options_without_load()};
     simulated.start();
     simulated.platform->faults.is_down = true;
     simulated.run_for(seconds(120));
@@ -228,7 +228,7 @@
 // The platform applies a write but its answer is lost. If the operator were told "failed", the change would
 // be made again, or a withdrawn version believed to be in use. The steward must read the head back.
 TEST_F(failure, a_lost_write_answer_is_settled_by_reading_back) {
-    world simulated{quiet_options()};
+    world simulated{options_without_load()};
     simulated.start();
     const std::uint64_t before = simulated.report().commands_accepted;
     const std::int64_t revision = simulated.head_in_platform().revision;
@@ -244,7 +244,7 @@
 // A steward that is cut off from its peers writes a withdrawal, and the platform becomes unavailable at once.
 // The other stewards still confirm the older revision, so the change must not be reported as accepted.
 TEST_F(failure, a_change_that_no_majority_holds_is_not_called_accepted) {
-    world simulated{quiet_options()};
+    world simulated{options_without_load()};
     simulated.start();
     const std::uint64_t before = simulated.report().commands_accepted;
     simulated.cut("steward-0", "steward-1", seconds(20));
@@ -262,7 +262,7 @@
 // A caller's connection breaks and its client repeats the booking with the same key at another entry while
 // the first attempt is still in progress. Without the claim it would run twice.
 TEST_F(failure, one_booking_key_at_two_entries_runs_once) {
-    world simulated{quiet_options()};
+    world simulated{options_without_load()};
     simulated.start();
     const std::uint64_t one = simulated.ask(0, booking("k1", "m1"));
     const std::uint64_t two = simulated.ask(1, booking("k1", "m1"));
@@ -279,7 +279,7 @@
 
 // Guards against a reused idempotency key that returns the answer to another request, or runs a second one.
 TEST_F(failure, a_key_reused_for_another_request_is_a_conflict) {
-    world simulated{quiet_options()};
+    world simulated{options_without_load()};
     simulated.start();
     simulated.ask(0, booking("k1", "m1"));
     simulated.run_for(seconds(3));
@@ -295,7 +295,7 @@
 // Without the revision in the token, the entry would find the pinned version not allowed and move the session
 // back.
 TEST_F(failure, an_entry_behind_the_token_does_not_move_the_session) {
-    world simulated{quiet_options()};
+    world simulated{options_without_load()};
     simulated.start();
     simulated.isolate("entry-0", seconds(4));
     simulated.run_for(milliseconds(50));
@@ -310,7 +310,7 @@
 // The booking service runs a call and its answer is lost. Repeating it would book twice, and "not run" would
 // make the caller repeat it, so the outcome must be reported as unknown.
 TEST_F(failure, a_lost_answer_of_a_booking_is_neither_repeated_nor_denied) {
-    world simulated{quiet_options()};
+    world simulated{options_without_load()};
     simulated.start();
     for (const auto& endpoint : simulated.endpoints) {
         endpoint->cut_answer_share = endpoint->record.pool == "bookings" ? 1.0 : 0.0;
@@ -326,7 +326,7 @@
 
 // The platform is down when a keyed booking arrives: without a claim it could run twice at two entries.
 TEST_F(failure, a_keyed_booking_is_refused_as_not_run_while_the_platform_is_down) {
-    world simulated{quiet_options()};
+    world simulated{options_without_load()};
     simulated.start();
     simulated.platform->faults.is_down = true;
     const std::uint64_t refused = simulated.ask(0, booking("k1", "m1"));
@@ -374,11 +374,11 @@
 // An engine's connection goes silent in the middle of a stream, without an error. The entry must resume at
 // the missing part or restart the stream, and the caller gets every part once.
 TEST_F(failure, a_silent_stream_is_resumed_without_a_gap) {
-    world simulated{quiet_options()};
+    world simulated{options_without_load()};
     simulated.start();
-    operation wish = question(0.1, true);
-    wish.tokens = 200;
-    const std::uint64_t asked = simulated.ask(0, wish);
+    operation op = question(0.1, true);
+    op.tokens = 200;
+    const std::uint64_t asked = simulated.ask(0, op);
     simulated.run_for(milliseconds(600));
     for (const auto& endpoint : simulated.endpoints) {
         endpoint->is_silent = true;
@@ -394,12 +394,12 @@
 // A version is withdrawn in the middle of a stream of a team with "rerun". The caller must be told that the
 // answer restarts and get it whole from another version, billed once.
 TEST_F(failure, a_stream_of_a_withdrawn_version_begins_anew) {
-    world simulated{quiet_options()};
+    world simulated{options_without_load()};
     simulated.start();
     // Without ratings a stream is routed by the prior, to the costly version.
-    operation wish = question(0.1, true);
-    wish.tokens = 300;
-    const std::uint64_t asked = simulated.ask(0, wish);
+    operation op = question(0.1, true);
+    op.tokens = 300;
+    const std::uint64_t asked = simulated.ask(0, op);
     simulated.run_for(milliseconds(500));
     simulated.withdraw("costly@1");
     simulated.run_for(seconds(9));
@@ -444,7 +444,7 @@
 
 // Engines that followed an order of a steward that had been paused answer with another version.
 TEST_F(failure, an_answer_under_a_wrong_name_is_never_released) {
-    world simulated{quiet_options()};
+    world simulated{options_without_load()};
     simulated.start();
     for (const auto& endpoint : simulated.endpoints) {
         endpoint->names_wrong_version = true;
@@ -472,7 +472,7 @@
 
 // Guards against an order that arrives after a later one and undoes it.
 TEST_F(failure, an_engine_that_checks_the_fence_refuses_an_old_order) {
-    world simulated{quiet_options()};
+    world simulated{options_without_load()};
     simulated.start();
     fake_endpoint& engine = *simulated.endpoints[0];
     engine.order({"", "", "load", "costly@1", 50});
@@ -483,7 +483,7 @@
 
 // The rating service is down. Answers must still come, from the version that is trusted unrated.
 TEST_F(failure, without_the_rating_service_the_trusted_version_answers) {
-    world simulated{quiet_options()};
+    world simulated{options_without_load()};
     simulated.start();
     simulated.rater_is_down = true;
     const std::uint64_t asked = simulated.ask(0, question());
@@ -520,7 +520,7 @@
 
 // All engines of a pool are gone. Callers must be refused soon, as not run, and not at their deadline.
 TEST_F(failure, an_empty_pool_is_refused_soon_and_not_run) {
-    world simulated{quiet_options()};
+    world simulated{options_without_load()};
     simulated.start();
     for (const auto& endpoint : simulated.endpoints) {
         endpoint->is_dead = endpoint->record.pool == "engines";
@@ -534,7 +534,7 @@
 // One caller's request terminates every engine that begins to run it. Without a record of these ends it is
 // sent to five engines each time the caller repeats it, until no engine is left.
 TEST_F(failure, a_request_that_terminates_its_endpoints_is_quarantined) {
-    world_options options = quiet_options();
+    world_options options = options_without_load();
     options.engines = 16;
     world simulated{options};
     simulated.start();
@@ -542,9 +542,9 @@
         endpoint->crash_marker = "deadly";
     }
     for (int asked = 0; asked < 3; ++asked) {
-        operation wish = question();
-        wish.marker = "deadly";
-        simulated.ask(0, wish);
+        operation op = question();
+        op.marker = "deadly";
+        simulated.ask(0, op);
         simulated.run_for(seconds(2));
     }
     const auto ended = std::count_if(simulated.endpoints.begin(), simulated.endpoints.end(),
@@ -573,46 +573,46 @@
 
 // Guards against entries that go on sending to an engine which has named a rate limit for all of them.
 TEST_F(failure, an_engine_gets_no_more_than_the_rate_limit_that_it_names) {
-    constexpr std::size_t most_in_4_s = 17; // 1.5 times 4 s at the limit of 2 requests/s, plus 5.
-    world_options options = quiet_options();
+    constexpr std::size_t max_arrivals_in_4_s = 17; // 1.5 times 4 s at the limit of 2 requests/s, plus 5.
+    world_options options = options_without_load();
     options.engines = 3;
     world simulated{options};
     simulated.start();
     fake_endpoint& limited = first_engine(simulated);
-    limited.says.rate_limit = 2.0;
+    limited.statement.rate_limit = 2.0;
     ask_continuously(simulated, options.entries, seconds(4));
     const time_point since = simulated.clock.now();
     ask_continuously(simulated, options.entries, seconds(4));
-    EXPECT_LE(arrivals_since(limited, since), most_in_4_s);
+    EXPECT_LE(arrivals_since(limited, since), max_arrivals_in_4_s);
     EXPECT_GE(arrivals_since(limited, since), 1U)
         << "without any request, entries never learn that the limit is lifted";
 }
 
 // Guards against an entry that goes on sending to an engine which has asked for a back-off.
 TEST_F(failure, an_engine_that_asks_for_rest_gets_it) {
-    constexpr std::size_t most_in_rest = 2;
-    world_options options = quiet_options();
+    constexpr std::size_t max_arrivals_in_back_off = 2;
+    world_options options = options_without_load();
     options.engines = 3;
     world simulated{options};
     simulated.start();
-    fake_endpoint& resting = first_engine(simulated);
-    resting.says.back_off = seconds(3);
-    while (resting.arrivals.empty()) {
+    fake_endpoint& overloaded = first_engine(simulated);
+    overloaded.statement.back_off = seconds(3);
+    while (overloaded.arrivals.empty()) {
         ask_continuously(simulated, 1, milliseconds(50));
     }
-    const time_point asked_at = resting.arrivals.front();
+    const time_point asked_at = overloaded.arrivals.front();
     ask_continuously(simulated, 1, milliseconds(2800));
-    EXPECT_LE(arrivals_since(resting, asked_at + milliseconds(500)), most_in_rest);
+    EXPECT_LE(arrivals_since(overloaded, asked_at + milliseconds(500)), max_arrivals_in_back_off);
 }
 
 // Guards against an entry that goes on sending to an engine which announces that it is leaving.
 TEST_F(failure, an_engine_that_says_it_leaves_gets_nothing_new) {
-    world_options options = quiet_options();
+    world_options options = options_without_load();
     options.engines = 3;
     world simulated{options};
     simulated.start();
     fake_endpoint& leaving = first_engine(simulated);
-    leaving.says.is_leaving = true;
+    leaving.statement.is_leaving = true;
     ask_continuously(simulated, 1, seconds(3));
     const time_point since = simulated.clock.now();
     ask_continuously(simulated, 1, seconds(3));
@@ -622,7 +622,7 @@
 
 // Guards against a request with an unknown team key that is queued or sent to an endpoint.
 TEST_F(failure, a_request_with_an_unknown_key_runs_nothing) {
-    world simulated{quiet_options()};
+    world simulated{options_without_load()};
     simulated.start();
     operation stranger = question();
     stranger.team = 0;
