--- a/src/node/entry_allowance.cpp
+++ b/src/node/entry_allowance.cpp
@@ -11,7 +11,8 @@
 }
 
 void entry_core::apply_statement(const context& request, const endpoint_statement& statement) {
-    const statement_effects effects = allowance_.note(request.endpoint, statement, request.call_started, now_);
+    const statement_effects effects =
+        allowance_.note(request.endpoint, statement, request.call_started, now_);
     if (!effects.is_limit_changed && !effects.has_back_off && !effects.is_newly_leaving) {
         return;
     }
--- a/src/node/entry_core.cpp
+++ b/src/node/entry_core.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr int max_call_attempts = 5;
-constexpr int max_sends_not_run = 12;
+constexpr int max_sends_not_run = 12; ///< limit of attempts if the latest call was not run
 constexpr duration min_call_timeout = seconds(2);
 constexpr double call_timeout_factor = 8;
 constexpr duration stream_gap_limit = seconds(2);
@@ -21,7 +21,8 @@
 /// A request may wait for an endpoint whose rate limit or back-off allows another one within this time.
 constexpr duration max_allowance_wait = milliseconds(500);
 constexpr int default_retry_after_ms = 500;
-constexpr double step_up_time_factor = 1.2; ///< times the next step's latency must be left
+/// A step up needs at least this multiple of the next step's latency before the deadline.
+constexpr double step_up_time_factor = 1.2;
 
 } // namespace
 
@@ -259,7 +260,8 @@
         return true;
     }
     endpoint_criteria criteria = criteria_for(request);
-    std::optional<endpoint_record> endpoint = endpoints_.choose(criteria, now_, allowed_within(duration::zero()));
+    std::optional<endpoint_record> endpoint =
+        endpoints_.choose(criteria, now_, allowed_within(duration::zero()));
     if (!endpoint) {
         endpoint = endpoints_.choose(any, now_, allowed_within(duration::zero()));
     }
--- a/src/node/entry_core.h
+++ b/src/node/entry_core.h
@@ -127,7 +127,7 @@
     endpoint_filter allowed_within(duration patience) const;
     void apply_statement(const context& request, const endpoint_statement& statement);
     void update_rate_limit_shares();
-    /** \return the time in ms until a barred endpoint of the request's pool may be used; 0: unknown */
+    /** \return the time in ms until an endpoint of the request's pool may be used again; 0: unknown */
     int retry_after_ms(const context& request) const;
     static request_digest quarantine_key(const context& request);
     std::optional<error> check_quarantine(const context& request) const;
@@ -240,7 +240,7 @@
     std::map<std::string, steward_link> links_;
     std::vector<steward_record> stewards_;
     std::vector<entry_record> entries_;
-    std::map<std::string, std::size_t> sharers_;
+    std::map<std::string, std::size_t> sharers_; ///< by pool: entries that share each endpoint, rounded up
     brake_notice brake_notice_;
     time_point last_ask_;
 
--- a/src/node/entry_quarantine.cpp
+++ b/src/node/entry_quarantine.cpp
@@ -1,5 +1,5 @@
-// How an entry refuses requests that terminate the endpoints that run them. Each entry counts for itself,
-// because on this interface a caller's session stays with one entry while that entry runs.
+// How an entry refuses requests that terminate the endpoints that run them. Each entry counts only its
+// own calls, because callers send the requests of a session to the same entry while that entry runs.
 #include "node/entry_core.h"
 
 namespace laurelhoist {
--- a/src/node/messages.h
+++ b/src/node/messages.h
@@ -59,7 +59,7 @@
     std::vector<endpoint_record> endpoints;
     std::vector<std::string> leaving;     ///< names of endpoints that have announced that they are leaving
     std::vector<steward_record> stewards; ///< the stewards to connect to
-    std::map<std::string, std::size_t> sharers; ///< by pool: entries that use one endpoint, rounded up
+    std::map<std::string, std::size_t> sharers; ///< by pool: mean number of entries per endpoint, rounded up
 };
 LAUREL_VALUE_TYPE(fleet_update, entries, endpoints, leaving, stewards, sharers)
 
--- a/src/node/steward_core.h
+++ b/src/node/steward_core.h
@@ -230,8 +230,8 @@
     bake_timer bake_timer_;
     time_point pending_action_since_;
     std::string pending_action_;
-    std::map<std::string, std::vector<version_name>> loaded_;
-    std::map<std::string, std::vector<version_name>> own_loaded_;
+    std::map<std::string, std::vector<version_name>> loaded_;     ///< by endpoint, read by any steward
+    std::map<std::string, std::vector<version_name>> own_loaded_; ///< by endpoint, read by this steward
     std::map<std::string, time_point> ordered_at_;
     std::map<std::string, time_point> asked_engine_at_;
     time_point last_engine_check_;
--- a/src/node/steward_fleet.cpp
+++ b/src/node/steward_fleet.cpp
@@ -111,7 +111,7 @@
 void steward_core::push_fleet() {
     if (endpoints_.empty() ||
         (last_fleet_check_ != time_point{} && now_ - last_fleet_check_ < fleet_check_interval)) {
-        return; // The list has not been read yet; sending an empty one would remove every endpoint.
+        return; // An empty list has not been read yet; sending it would remove every endpoint.
     }
     last_fleet_check_ = now_;
     fleet_update shared;
@@ -306,7 +306,7 @@
 }
 
 // The list decides whose answers make a majority while the platform is unavailable. A steward that starts
-// under a listed name replaces the one before, which has lost its memory and answers no more. A new name
+// under a listed name replaces the one before, which has lost its memory and no longer answers. A new name
 // joins only when a majority holds the current list: then every majority of an older list includes a steward
 // that knows of the current one. A silent steward whose host has left the platform's list is removed.
 void steward_core::update_steward_list() {
--- a/src/node/steward_rollout.cpp
+++ b/src/node/steward_rollout.cpp
@@ -41,7 +41,8 @@
     return view_->established() == nullptr ? std::vector<model_entry>{} : view_->established()->models;
 }
 
-std::vector<version_name> steward_core::bad_versions(const std::vector<version_assessment>& assessments) const {
+std::vector<version_name>
+steward_core::bad_versions(const std::vector<version_assessment>& assessments) const {
     std::vector<version_name> bad;
     const std::vector<version_name> versions = view_->versions_under_rollout();
     for (std::size_t i = 0; i < versions.size(); ++i) {
--- a/src/programs/laurel_entry.cpp
+++ b/src/programs/laurel_entry.cpp
@@ -45,8 +45,8 @@
 /** Parses a stream of server-sent events that arrives in pieces of any size. */
 class sse_parser {
 public:
-    /** \return the data of the events that \p piece completes; events that do not start with it are skipped.
-     */
+    /** \return the data of the events that \p piece completes. Events whose first field is not `data` are
+     * skipped. */
     std::vector<std::string> add(const std::string& piece) {
         text_ += piece;
         std::vector<std::string> events;
--- a/src/programs/laurel_load.cpp
+++ b/src/programs/laurel_load.cpp
@@ -29,7 +29,7 @@
     "control address of the stand-in, to count calls that were executed twice; empty: skip this check");
 DEFINE_string(teams, "osijek,vukovar,vinkovci,dakovo,nasice", "teams; the key of each is <team>-key");
 DEFINE_string(service, "claims", "plain service to call");
-DEFINE_string(single_call, "submit", "non-idempotent call of that service");
+DEFINE_string(single_call, "submit", "non-idempotent call of the service given by --service");
 DEFINE_string(bad_version, "", "version known to be bad, whose answers are counted; empty: none");
 DEFINE_double(rate, 50, "requests a second");
 DEFINE_double(seconds, 10, "duration of the load in seconds");
--- a/src/simulation/fake_endpoint.h
+++ b/src/simulation/fake_endpoint.h
@@ -47,7 +47,8 @@
     std::string crash_marker; ///< marker of the requests that crash this endpoint; empty: none
     bool is_silent = false;   ///< accepts calls but never answers
     bool is_leaving = false;  ///< refuses new calls and names the reason
-    endpoint_statement statement;  ///< sent with each answer; while it asks for a back-off, every call is refused
+    /// Sent with each answer; while it asks for a back-off, every call is refused.
+    endpoint_statement statement;
     std::vector<time_point> arrivals; ///< arrival time of each call that finds the process up
     bool names_wrong_version = false;
     bool mixes_answers = false; ///< answers some calls with another request's answer
@@ -57,8 +58,8 @@
     duration report_lag = milliseconds(0);
     duration load_time = seconds(2);
     std::uint64_t prefix_hits = 0;
-    std::uint64_t begun = 0;
-    std::uint64_t fenced_orders = 0;
+    std::uint64_t begun = 0;         ///< calls that have begun to run
+    std::uint64_t fenced_orders = 0; ///< orders refused because of an outdated fencing token
 
 private:
     struct job {
--- a/src/simulation/replay.h
+++ b/src/simulation/replay.h
@@ -11,7 +11,7 @@
     world_report report;
     double p95_ms = 0;
     double quality_share = 0;
-    std::string established;
+    std::string established;                 ///< bundle that is established at the end
     std::vector<std::string> unmet_outcomes; ///< outcomes that were missed, each with value and bound
 };
 
--- a/src/standin/engine.cpp
+++ b/src/standin/engine.cpp
@@ -54,7 +54,7 @@
 void stand_in_engine::on_request(const http_request& request,
                                  const std::shared_ptr<http_responder>& responder) {
     if (faults_.mode == "silent") {
-        return; // Neither answers nor closes, like a connection whose state was lost on the way.
+        return; // Neither answers nor closes, like a connection that was lost without a reset.
     }
     if (request.path == "/admin/status") {
         responder->reply(
--- a/test/node_test.cpp
+++ b/test/node_test.cpp
@@ -76,7 +76,7 @@
 }
 
 // Guards against links from processes that lack the fleet key, replay an old hello or alter one.
-TEST(messages, a_hello_without_the_key_or_from_yesterday_is_refused) {
+TEST(messages, a_hello_without_the_key_or_with_an_old_time_is_refused) {
     hello_message hello{"entry", "e", "e#1", "d", "a", 100000, ""};
     hello.proof = compute_proof(hello, "the fleet key");
     EXPECT_TRUE(has_valid_proof(hello, "the fleet key", 100500));
@@ -147,7 +147,7 @@
 }
 
 // Guards against a roll-out that stops halfway without an operator although its version is good.
-TEST_F(failure, a_good_version_is_rolled_to_the_end_by_the_stewards_alone) {
+TEST_F(failure, a_good_version_is_rolled_out_completely_without_an_operator) {
     world simulated{world_options{}};
     simulated.start();
     simulated.roll_bundle(0.85);
@@ -159,7 +159,7 @@
 
 // Two stewards are killed, one after the other, during a roll-out. If a roll-out belonged to one steward, the
 // fleet would keep mixed versions; any steward must continue it from the head.
-TEST_F(failure, a_half_rollout_is_continued_by_another_steward) {
+TEST_F(failure, an_unfinished_rollout_is_continued_by_another_steward) {
     world simulated{world_options{}};
     simulated.start();
     simulated.roll_bundle(0.85);
@@ -173,7 +173,7 @@
 
 // An entry is cut off from all others just before a version is withdrawn, while callers still reach it. After
 // the freshness limit it must refuse requests as not run instead of serving the withdrawn version.
-TEST_F(failure, a_cut_off_entry_stops_serving_before_a_withdrawal_counts) {
+TEST_F(failure, a_cut_off_entry_does_not_serve_a_withdrawn_version) {
     world simulated{options_without_load()};
     simulated.start();
     simulated.isolate("entry-0", seconds(30));
@@ -309,7 +309,7 @@
 
 // The booking service runs a call and its answer is lost. Repeating it would book twice, and "not run" would
 // make the caller repeat it, so the outcome must be reported as unknown.
-TEST_F(failure, a_lost_answer_of_a_booking_is_neither_repeated_nor_denied) {
+TEST_F(failure, a_booking_whose_answer_is_lost_is_not_repeated_and_its_outcome_is_unknown) {
     world simulated{options_without_load()};
     simulated.start();
     for (const auto& endpoint : simulated.endpoints) {
@@ -442,8 +442,9 @@
     simulated.check_final();
 }
 
-// Engines that followed an order of a steward that had been paused answer with another version.
-TEST_F(failure, an_answer_under_a_wrong_name_is_never_released) {
+// Guards against the release of an answer in which the engine reports another version than the requested one,
+// for example because it followed an outdated order.
+TEST_F(failure, an_answer_of_another_version_is_never_released) {
     world simulated{options_without_load()};
     simulated.start();
     for (const auto& endpoint : simulated.endpoints) {
@@ -457,7 +458,7 @@
 
 // A steward that was paused during a roll-out sends outdated orders. Engines without a fencing check follow
 // them; the loaded versions must be read back and corrected.
-TEST_F(failure, engines_that_ignore_the_fence_are_read_back_and_mended) {
+TEST_F(failure, engines_without_a_fencing_check_are_read_back_and_corrected) {
     world_options options;
     options.engines_check_fence = false;
     world simulated(options);
@@ -500,7 +501,7 @@
 }
 
 // A failure domain is lost during an outage of the platform: an entry, a steward and a quarter of the engines
-// are gone at once. The others must go on serving.
+// are gone at once. The others must continue to serve.
 TEST_F(failure, a_lost_domain_in_an_outage_leaves_the_rest_serving) {
     world_options options;
     options.entries = 4;
@@ -531,7 +532,7 @@
     EXPECT_EQ(ran_of(simulated.reply_to(asked)), "no");
 }
 
-// One caller's request terminates every engine that begins to run it. Without a record of these ends it is
+// One caller's request terminates every engine that begins to run it. Without a record of these crashes it is
 // sent to five engines each time the caller repeats it, until no engine is left.
 TEST_F(failure, a_request_that_terminates_its_endpoints_is_quarantined) {
     world_options options = options_without_load();
@@ -549,7 +550,7 @@
     }
     const auto ended = std::count_if(simulated.endpoints.begin(), simulated.endpoints.end(),
                                      [](const auto& endpoint) { return endpoint->is_dead; });
-    EXPECT_LE(ended, 3) << "three ends under one request are enough to quarantine it";
+    EXPECT_LE(ended, 3) << "three crashes under one request are enough to quarantine it";
 }
 
 /** Sends one question each 50 ms for \p time, to one entry after the other. */
@@ -589,7 +590,7 @@
 }
 
 // Guards against an entry that goes on sending to an engine which has asked for a back-off.
-TEST_F(failure, an_engine_that_asks_for_rest_gets_it) {
+TEST_F(failure, an_engine_that_asks_for_a_back_off_gets_it) {
     constexpr std::size_t max_arrivals_in_back_off = 2;
     world_options options = options_without_load();
     options.engines = 3;
