--- a/src/node/entry_core.cpp
+++ b/src/node/entry_core.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr int max_call_attempts = 5;
-constexpr int max_sends_not_run = 12;
+constexpr int max_sends_not_run = 12; ///< limit of attempts if the latest call was not run
 constexpr duration min_call_timeout = seconds(2);
 constexpr double call_timeout_factor = 8;
 constexpr duration stream_gap_limit = seconds(2);
@@ -21,7 +21,8 @@
 /// A request may wait for an endpoint whose rate limit or back-off allows another one within this time.
 constexpr duration max_allowance_wait = milliseconds(500);
 constexpr int default_retry_after_ms = 500;
-constexpr double step_up_time_factor = 1.2; ///< times the next step's latency must be left
+/// A step up needs at least this multiple of the next step's latency before the deadline.
+constexpr double step_up_time_factor = 1.2;
 
 } // namespace
 
@@ -258,8 +259,9 @@
         fire(*id, "expired");
         return true;
     }
-    endpoint_criteria wish = wish_for(request);
-    std::optional<endpoint_record> endpoint = endpoints_.choose(wish, now_, allowed_within(duration::zero()));
+    endpoint_criteria criteria = criteria_for(request);
+    std::optional<endpoint_record> endpoint =
+        endpoints_.choose(criteria, now_, allowed_within(duration::zero()));
     if (!endpoint) {
         endpoint = endpoints_.choose(any, now_, allowed_within(duration::zero()));
     }
@@ -268,7 +270,7 @@
     return true;
 }
 
-endpoint_criteria entry_core::wish_for(const context& request) const {
+endpoint_criteria entry_core::criteria_for(const context& request) const {
     return {request.pool, request.is_service() ? "" : request.version(), request.incoming.prefix,
             request.avoided};
 }
@@ -396,7 +398,7 @@
     request.endpoint = endpoint;
     request_by_call_[call.call_id] = request.id;
     ++team_in_flight_[request.team.name];
-    endpoints_.on_call_started(endpoint.name, wish_for(request), now_);
+    endpoints_.on_call_started(endpoint.name, criteria_for(request), now_);
     allowance_.on_sent(endpoint.name, now_);
     metrics_.count("dispatches");
     metrics_.time("queue_wait", now_ - request.queued_since);
@@ -478,8 +480,8 @@
         record_broken_call(request, answer);
     }
     // A refusal that asks for a back-off is no failure of the endpoint.
-    const bool asks_for_rest = result == call_result::refused_not_run && answer.statement.back_off;
-    end_call(request, asks_for_rest ? call_result::cancelled : result);
+    const bool asks_for_back_off = result == call_result::refused_not_run && answer.statement.back_off;
+    end_call(request, asks_for_back_off ? call_result::cancelled : result);
     if (is_certain_not_run || answer.version_missing) {
         // "Not run" may be reported to the caller only if no earlier call of this request may have run.
         request.may_have_run = request.earlier_may_have_run;
