--- a/src/host/entry_host.cpp
+++ b/src/host/entry_host.cpp
@@ -82,7 +82,7 @@
                          store_confirmed_at_ = monotonic_now();
                          behind_since_.reset(); // The copy held is the newest, whatever its revision.
                          if (is_config_readable_) {
-                             relay_.state().fence.confirm(as_of);
+                             relay_.state().freshness.confirm(as_of);
                          }
                      },
                      [this](bool is_lost) { on_store_reachability(is_lost); },
@@ -175,7 +175,7 @@
     measured.gauge("requests_active", static_cast<double>(relay_.active()));
     measured.gauge("endpoints_known", static_cast<double>(relay_.state().endpoints.size()));
     measured.gauge("hosts_live", static_cast<double>(gossip_.live(monotonic_now()).size()));
-    measured.gauge("config_age_ms", std::min(to_ms(relay_.state().fence.age(monotonic_now())), 1e9));
+    measured.gauge("config_age_ms", std::min(to_ms(relay_.state().freshness.age(monotonic_now())), 1e9));
     measured.gauge("sessions_remembered", static_cast<double>(rollouts_.remembered_sessions()));
     measured.gauge("requests_under_quarantine", static_cast<double>(quarantined().size()));
     measured.gauge("resident_bytes", static_cast<double>(process_resident_bytes()));
--- a/src/host/entry_host_copies.cpp
+++ b/src/host/entry_host_copies.cpp
@@ -60,7 +60,7 @@
     inputs.mode = reading_;
     inputs.in_mode = now - reading_since_;
     inputs.since_start = now - started_at_;
-    inputs.config_age = relay_.state().fence.age(now);
+    inputs.config_age = relay_.state().freshness.age(now);
     if (inputs.config_age == duration::max()) {
         // No configuration has been confirmed yet; peers will confirm it once the readers have one. If it
         // counted as stale, at a fleet's first start each host would keep asking the store until there is a
--- a/src/host/entry_host_peers.cpp
+++ b/src/host/entry_host_peers.cpp
@@ -331,7 +331,7 @@
 
 void entry_host::handle(const std::string& from, const freshness_question& question) {
     const relay_state& state = relay_.state();
-    const duration age = state.fence.age(monotonic_now());
+    const duration age = state.freshness.age(monotonic_now());
     if (!state.routing || age == duration::max()) {
         return;
     }
@@ -349,7 +349,7 @@
     if (answer.config_revision > config_revision_) {
         fetch_copy(from, config_watch_, codec_.config_kind());
     } else if (answer.config_revision == config_revision_ && relay_.state().routing) {
-        relay_.state().fence.confirm(as_of);
+        relay_.state().freshness.confirm(as_of);
         relay_.state().measured.count("config_vouched_by_peer");
     }
 }
@@ -409,7 +409,7 @@
         return;
     }
     const bool is_store_answering = reads_everything() && !is_store_lost_;
-    if (relay_.state().fence.age(now) < (is_store_answering ? stale_after : stale_copy_after)) {
+    if (relay_.state().freshness.age(now) < (is_store_answering ? stale_after : stale_copy_after)) {
         return;
     }
     const std::int64_t nonce = ++last_nonce_;
--- a/src/placement/cold_endpoints.cpp
+++ b/src/placement/cold_endpoints.cpp
@@ -24,10 +24,10 @@
     {"none", &cold_endpoints::spacing_of_no_host},
 };
 
-/** \return the shortest interval between requests at which no second holds more than \p most of them. */
-duration spacing_for(double most) {
+/** \return the shortest interval between requests at which no second holds more than \p max_per_s of them. */
+duration spacing_for(double max_per_s) {
     // Rounded down to whole requests: at 1.9 requests per second, some second holds two.
-    const double requests = most >= 1.0 ? std::floor(most) : most;
+    const double requests = max_per_s >= 1.0 ? std::floor(max_per_s) : max_per_s;
     return std::chrono::duration_cast<duration>(std::chrono::duration<double>(1.0 / requests)) +
            milliseconds(1);
 }
@@ -141,11 +141,11 @@
     std::optional<time_point>& refused_at = found->second.refused_at;
     const time_point at = now - age;
     // Announced again only if it is much newer; otherwise every attempt would be announced to every host.
-    const bool is_news = !refused_at || at > *refused_at + refused_cold_time / 4;
+    const bool should_announce = !refused_at || at > *refused_at + refused_cold_time / 4;
     if (!refused_at || at > *refused_at) {
         refused_at = at;
     }
-    return is_news;
+    return should_announce;
 }
 
 std::map<std::string, duration> cold_endpoints::refused(time_point now) const {
--- a/src/placement/endpoint_directory.cpp
+++ b/src/placement/endpoint_directory.cpp
@@ -43,9 +43,9 @@
 
 } // namespace
 
-endpoint_directory::endpoint_directory(chart life, std::uint64_t seed, std::string domain,
+endpoint_directory::endpoint_directory(chart endpoint_chart, std::uint64_t seed, std::string domain,
                                        const mechanisms& in_use, send_allowance allowance)
-    : table_{std::move(life), seed, endpoint_policy::least_in_flight},
+    : table_{std::move(endpoint_chart), seed, endpoint_policy::least_in_flight},
       random_{seed},
       allowance_{std::move(allowance)},
       domain_{std::move(domain)},
@@ -172,15 +172,15 @@
     const std::size_t shared = prompt.parts.size() - min_parts;
     // Hosts that prefer their own domain would hardly ever use a home in another one, except for a part that
     // is large enough.
-    const bool has_near = std::any_of(candidates.begin(), candidates.end(),
-                                      [this](const auto& each) { return each.domain == domain_; });
-    const bool is_near_only =
-        prefers_own_domain_ && has_near && prompt.tokens[shared] < min_tokens_for_fleet_home;
+    const bool has_local = std::any_of(candidates.begin(), candidates.end(),
+                                       [this](const auto& each) { return each.domain == domain_; });
+    const bool is_local_only =
+        prefers_own_domain_ && has_local && prompt.tokens[shared] < min_tokens_for_fleet_home;
     const std::string key = std::to_string(cache_key(prompt.parts[shared], model)) + "/";
     std::string home;
     std::uint64_t least = 0;
     for (const endpoint_record& candidate : candidates) {
-        if (is_near_only && candidate.domain != domain_) {
+        if (is_local_only && candidate.domain != domain_) {
             continue;
         }
         const std::uint64_t rank = placement_hash(key + candidate.name);
@@ -223,10 +223,11 @@
     return prefers_own_domain_ && endpoint.name != home ? unknown_domain_load_ms : cross_domain_ms;
 }
 
-std::optional<placement> endpoint_directory::choose(const endpoint_criteria& wish, const prompt_shape& prompt,
-                                                    const target_model& model, time_point now) {
+std::optional<placement> endpoint_directory::choose(const endpoint_criteria& criteria,
+                                                    const prompt_shape& prompt, const target_model& model,
+                                                    time_point now) {
     const std::vector<endpoint_record> candidates =
-        table_.eligible(wish, now, [&](const endpoint_record& endpoint) {
+        table_.eligible(criteria, now, [&](const endpoint_record& endpoint) {
             return allowance_.exclusion_of(endpoint, duration::zero(), now) == exclusion::none;
         });
     if (candidates.empty()) {
@@ -257,9 +258,9 @@
 }
 
 void endpoint_directory::on_sent(const placement& chosen, const prompt_shape& prompt,
-                                 const endpoint_criteria& wish, time_point now) {
+                                 const endpoint_criteria& criteria, time_point now) {
     const std::string& name = chosen.endpoint.name;
-    table_.on_call_started(name, wish, now);
+    table_.on_call_started(name, criteria, now);
     allowance_.on_sent(name, now);
     own_load_[name].reading_ms += chosen.reading_ms;
     if (prompt.is_empty()) {
--- a/src/placement/endpoint_directory.h
+++ b/src/placement/endpoint_directory.h
@@ -61,12 +61,12 @@
 
 class endpoint_directory {
 public:
-    /** \param life charts/endpoint.scxml
+    /** \param endpoint_chart charts/endpoint.scxml
      * \param domain failure domain of this host
      * \param in_use mechanisms that are switched on
      * \param allowance decides to which endpoints this host may send */
-    endpoint_directory(chart life, std::uint64_t seed, std::string domain, const mechanisms& in_use = {},
-                       send_allowance allowance = {"", {"", {}}});
+    endpoint_directory(chart endpoint_chart, std::uint64_t seed, std::string domain,
+                       const mechanisms& in_use = {}, send_allowance allowance = {"", {"", {}}});
 
     void update(const std::vector<endpoint_record>& endpoints, time_point now);
     /** \return those of \p endpoints whose process is a later one than the one known here. */
@@ -85,7 +85,7 @@
     const send_allowance& allowance() const { return allowance_; }
 
     /** \return the endpoint to send to, or nothing if no endpoint takes the request now */
-    std::optional<placement> choose(const endpoint_criteria& wish, const prompt_shape& prompt,
+    std::optional<placement> choose(const endpoint_criteria& criteria, const prompt_shape& prompt,
                                     const target_model& model, time_point now);
     /** \return whether some endpoint of \p service takes requests of this host now or within 0.5 s. */
     bool could_serve(const std::string& service, time_point now) const;
@@ -94,7 +94,7 @@
     std::map<exclusion, int> count_exclusions(const std::string& service, time_point now) const;
     std::size_t size() const { return table_.size(); }
 
-    void on_sent(const placement& chosen, const prompt_shape& prompt, const endpoint_criteria& wish,
+    void on_sent(const placement& chosen, const prompt_shape& prompt, const endpoint_criteria& criteria,
                  time_point now);
     /** Moves the request from waiting to running once the first byte of its answer has arrived. */
     void on_first_byte(const placement& chosen);
--- a/src/placement/rate_limits.cpp
+++ b/src/placement/rate_limits.cpp
@@ -185,19 +185,19 @@
         return false;
     }
     const std::uint32_t process = process_code(endpoint.name, endpoint.started_at_ms);
-    const bool is_news = apply_statement(process, statement, now);
-    if (is_news) {
+    const bool is_significant = apply_statement(process, statement, now);
+    if (is_significant) {
         known_limits_[process].is_pending = true;
     }
-    return is_news;
+    return is_significant;
 }
 
 std::vector<std::string> rate_limits::merge(const std::vector<limit_notice>& notices, time_point now) {
     std::vector<std::string> changed;
     for (const limit_notice& notice : notices) {
-        const bool is_news = apply_statement(notice.process, to_statement(notice, now), now);
+        const bool is_significant = apply_statement(notice.process, to_statement(notice, now), now);
         const endpoint_record* endpoint = find_listed(notice.process);
-        if (is_news && endpoint != nullptr) {
+        if (is_significant && endpoint != nullptr) {
             changed.push_back(endpoint->name);
         }
     }
@@ -263,7 +263,7 @@
     }
 }
 
-bool rate_limits::has_tightened_since(const std::string& endpoint, time_point chosen_at) const {
+bool rate_limits::has_changed_since(const std::string& endpoint, time_point chosen_at) const {
     const known_limit* known = find_limited(endpoint);
     return known != nullptr && known->changed_at >= chosen_at;
 }
--- a/src/placement/rate_limits.h
+++ b/src/placement/rate_limits.h
@@ -78,7 +78,7 @@
     bool may_send_within(const std::string& endpoint, duration max_wait, time_point now) const;
     void on_sent(const std::string& endpoint, time_point now);
     /** \return whether \p endpoint is limited and its limit changed at or after \p chosen_at. */
-    bool has_tightened_since(const std::string& endpoint, time_point chosen_at) const;
+    bool has_changed_since(const std::string& endpoint, time_point chosen_at) const;
     /** \return the estimated time until a limited endpoint of \p service takes a request from some host, or
      * nothing if none is limited */
     std::optional<duration> time_until_available(const std::string& service, time_point now) const;
--- a/src/placement/send_allowance.cpp
+++ b/src/placement/send_allowance.cpp
@@ -65,7 +65,7 @@
 }
 
 bool send_allowance::is_excluded_since(const endpoint_record& endpoint, time_point chosen_at) const {
-    return limits_.has_tightened_since(endpoint.name, chosen_at) ||
+    return limits_.has_changed_since(endpoint.name, chosen_at) ||
            back_offs_.has_begun_since(endpoint.name, chosen_at) ||
            leaving_.has_begun_since(endpoint, chosen_at);
 }
@@ -73,10 +73,10 @@
 std::optional<duration> send_allowance::time_until_available(const std::string& service,
                                                              time_point now) const {
     std::optional<duration> first;
-    for (const std::optional<duration>& room :
+    for (const std::optional<duration>& left :
          {cold_.first_warm_in(service, now), limits_.time_until_available(service, now),
           back_offs_.time_until_available(service, now)}) {
-        first = first && room ? std::min(*first, *room) : first ? first : room;
+        first = first && left ? std::min(*first, *left) : first ? first : left;
     }
     return first;
 }
--- a/src/placement/sponsors.h
+++ b/src/placement/sponsors.h
@@ -16,10 +16,10 @@
 };
 
 /** Chooses sponsors among the serving hosts by rendezvous hashing: from the endpoint's failure domain if it
- * has at least \p most of them, otherwise from all domains. As long as the choice stays within the same
+ * has at least \p max_count of them, otherwise from all domains. As long as the choice stays within the same
  * domains, at most one sponsor changes when a host joins or leaves.
- * \return at most \p most names */
+ * \return at most \p max_count names */
 std::vector<std::string> sponsors_of(const endpoint_record& endpoint, const std::vector<host_status>& hosts,
-                                     std::size_t most);
+                                     std::size_t max_count);
 
 } // namespace laurelhoist
--- a/src/recovery/crash_quarantine.cpp
+++ b/src/recovery/crash_quarantine.cpp
@@ -49,13 +49,13 @@
 } // namespace
 
 std::vector<endpoint_end> consecutive_ends(const std::vector<endpoint_end>& ends) {
-    std::vector<endpoint_end> row;
+    std::vector<endpoint_end> sequence;
     for (const endpoint_end& end : ends) {
-        if (row.empty() || end.sent_at >= row.back().ended_at) {
-            row.push_back(end);
+        if (sequence.empty() || end.sent_at >= sequence.back().ended_at) {
+            sequence.push_back(end);
         }
     }
-    return row;
+    return sequence;
 }
 
 std::vector<std::string> trackers_of(request_digest digest, std::vector<std::string> hosts) {
@@ -84,10 +84,10 @@
 }
 
 time_point crash_quarantine::trial_due(const record& entry) {
-    const double times = std::pow(trial_delay_factor, entry.counted_ends - ends_to_quarantine);
-    const double most = to_ms(max_trial_delay) / to_ms(first_trial_delay);
+    const double factor = std::pow(trial_delay_factor, entry.counted_ends - ends_to_quarantine);
+    const double max_factor = to_ms(max_trial_delay) / to_ms(first_trial_delay);
     return entry.ends.back().ended_at +
-           std::chrono::duration_cast<duration>(first_trial_delay * std::min(times, most));
+           std::chrono::duration_cast<duration>(first_trial_delay * std::min(factor, max_factor));
 }
 
 bool crash_quarantine::may_send(request_digest digest, time_point now) const {
@@ -201,14 +201,14 @@
     for (const crash_notice& notice : notices) {
         record& entry = find_or_add(notice.digest, now);
         const int before = entry.counted_ends;
-        bool is_news =
+        bool has_changed =
             notice.cleared_age_ms >= 0 && clear_before(entry, time_from_age(notice.cleared_age_ms, now));
         for (const end_report& end : notice.ends) {
             const endpoint_end heard{end.process, time_from_age(end.sent_age_ms, now),
                                      time_from_age(end.ended_age_ms, now)};
-            is_news = add_end(entry, heard) || is_news;
+            has_changed = add_end(entry, heard) || has_changed;
         }
-        if (!is_news) {
+        if (!has_changed) {
             continue;
         }
         update_count(notice.digest, entry, before, now);
@@ -240,7 +240,7 @@
     return notice;
 }
 
-std::vector<crash_notice> crash_quarantine::known(std::size_t most, time_point now) const {
+std::vector<crash_notice> crash_quarantine::known(std::size_t max_count, time_point now) const {
     std::vector<std::pair<time_point, request_digest>> order;
     for (const auto& [digest, entry] : records_) {
         if (entry.is_fleet_wide) {
@@ -248,7 +248,7 @@
         }
     }
     std::sort(order.rbegin(), order.rend());
-    order.resize(std::min(most, order.size()));
+    order.resize(std::min(max_count, order.size()));
     std::vector<crash_notice> notices;
     for (const auto& [changed_at, digest] : order) {
         notices.push_back(to_notice(digest, records_.at(digest), now));
--- a/src/recovery/crash_quarantine.h
+++ b/src/recovery/crash_quarantine.h
@@ -96,8 +96,8 @@
 
     /** \return the number of ends that count against \p digest */
     int ends_of(request_digest digest) const;
-    /** \return at most \p most notices that concern all hosts, the most recently changed first */
-    std::vector<crash_notice> known(std::size_t most, time_point now) const;
+    /** \return at most \p max_count notices that concern all hosts, the most recently changed first */
+    std::vector<crash_notice> known(std::size_t max_count, time_point now) const;
     /** Changes on this host that other hosts have not been told. */
     struct pending_notices {
         std::vector<crash_notice> for_all;      ///< requests with \ref ends_to_announce ends now or earlier
--- a/src/relay/exchange.cpp
+++ b/src/relay/exchange.cpp
@@ -91,10 +91,10 @@
       state_{owner.state()},
       caller_{std::move(caller)},
       request_{std::move(request)},
-      exchange_state_{state_.request_life.initial()} {}
+      exchange_state_{state_.request_chart.initial()} {}
 
 void exchange::apply_event(const char* event) {
-    const outcome<std::string> next = state_.request_life.next(exchange_state_, event);
+    const outcome<std::string> next = state_.request_chart.next(exchange_state_, event);
     const std::string* target = value_of(next);
     if (invariant("relay_follows_its_chart", target != nullptr, [&] {
             return json{{"phase", exchange_state_}, {"event", event}, {"request", terms_.id}};
@@ -105,7 +105,7 @@
 
 void exchange::start() {
     arrived_at_ = monotonic_now();
-    config_age_ = state_.fence.age(arrived_at_);
+    config_age_ = state_.freshness.age(arrived_at_);
     terms_ = state_.dialect.read_request(request_);
     auto self = shared_from_this();
     caller_->on_caller_gone([self] { self->on_caller_gone(); });
@@ -178,7 +178,7 @@
     }
     // Guards against accepting a key that was withdrawn while this host received no updates of the
     // configuration: without a recent confirmation the host cannot tell whether the key is still valid.
-    if (terms_.has_key && !state_.fence.admits(arrived_at_)) {
+    if (terms_.has_key && !state_.freshness.admits(arrived_at_)) {
         answer_failure(status_unavailable, "configuration_unconfirmed",
                        "connect to another entry: this one cannot check keys now", retry_after_unavailable);
         return false;
@@ -281,7 +281,7 @@
             }
         }
         if (!state_.endpoints.could_serve(service_, now)) {
-            report_barred_endpoints(now);
+            log_excluded_endpoints(now);
             answer_failure(may_have_run_ ? status_bad_gateway : status_unavailable, "no_endpoint",
                            "retry later: no endpoint of the service accepts work", time_to_capacity(now));
         }
@@ -290,11 +290,11 @@
     open_connection();
 }
 
-void exchange::report_barred_endpoints(time_point now) {
+void exchange::log_excluded_endpoints(time_point now) {
     json reasons = json::object();
-    for (const auto& [bar, count] : state_.endpoints.count_exclusions(service_, now)) {
-        reasons[to_string(bar)] = count;
-        state_.measured.count(std::string("requests_barred_") + to_string(bar));
+    for (const auto& [reason, count] : state_.endpoints.count_exclusions(service_, now)) {
+        reasons[to_string(reason)] = count;
+        state_.measured.count(std::string("requests_barred_") + to_string(reason));
     }
     log_info("no_endpoint_allowed",
              {{"request", terms_.id}, {"service", service_}, {"endpoints_barred", reasons}});
@@ -409,9 +409,9 @@
 }
 
 duration exchange::idle_time() const {
-    const std::optional<duration> said = keep_alive_time(reader_->headers());
-    return said ? std::min(default_idle_time, std::max<duration>(duration::zero(), *said - idle_margin))
-                : default_idle_time;
+    const std::optional<duration> stated = keep_alive_time(reader_->headers());
+    return stated ? std::min(default_idle_time, std::max<duration>(duration::zero(), *stated - idle_margin))
+                  : default_idle_time;
 }
 
 void exchange::release_connection(bool is_reusable) {
@@ -432,8 +432,8 @@
     may_have_run_ = may_have_run_ || !proves_not_run(end);
     // A requested back-off is not a failure: counted as one, it would exclude the endpoint for longer than
     // asked.
-    const bool asks_for_rest = end == attempt_end::refused && answer().says.back_off;
-    settle_attempt(asks_for_rest ? call_result::cancelled : to_call_result(end), evidence_of(end));
+    const bool asks_for_back_off = end == attempt_end::refused && answer().statement.back_off;
+    settle_attempt(asks_for_back_off ? call_result::cancelled : to_call_result(end), evidence_of(end));
     release_connection(end == attempt_end::refused || end == attempt_end::failed ||
                        end == attempt_end::misdirected);
     log_attempt(end);
@@ -575,12 +575,13 @@
     // The digest is logged only if the endpoint may have ended, to show whether the same request did it
     // before.
     const std::string known_by = end == attempt_end::broken ? to_text(digest()) : std::string{};
-    const duration rest = answer_ ? answer_->says.back_off.value_or(duration::zero()) : duration::zero();
+    const duration back_off =
+        answer_ ? answer_->statement.back_off.value_or(duration::zero()) : duration::zero();
     log_info("attempt_ended", {{"request", terms_.id},
                                {"digest", known_by},
                                {"events", events_of_attempt()},
                                {"end", to_string(end)},
-                               {"retry_after_ms", static_cast<std::int64_t>(to_ms(rest))},
+                               {"retry_after_ms", static_cast<std::int64_t>(to_ms(back_off))},
                                {"endpoint", chosen.endpoint.name},
                                {"release", chosen.endpoint.release},
                                {"attempt", attempts_},
--- a/src/relay/exchange.h
+++ b/src/relay/exchange.h
@@ -80,7 +80,7 @@
     bool is_good_enough(const answer_terms& given);
     /** \return the Retry-After for a service of which no endpoint accepts work, with jitter. */
     duration time_to_capacity(time_point now) const;
-    void report_barred_endpoints(time_point now);
+    void log_excluded_endpoints(time_point now);
     void open_connection();
     void send_request();
     void cancel_and_redispatch();
--- a/src/relay/exchange_answers.cpp
+++ b/src/relay/exchange_answers.cpp
@@ -116,7 +116,7 @@
         return; // A misdirected answer comes from another instance.
     }
     attempt_.has_head = true;
-    owner_.record_statement(attempt_.chosen.endpoint, answer().says, attempt_.sent_at, terms_.id);
+    owner_.record_statement(attempt_.chosen.endpoint, answer().statement, attempt_.sent_at, terms_.id);
 }
 
 void exchange::record_first_byte() {
--- a/src/relay/http_codec.cpp
+++ b/src/relay/http_codec.cpp
@@ -71,9 +71,9 @@
     std::optional<duration> longest;
     for (const header_field& field : headers.all()) {
         if (is_same_name(field.name, "Retry-After")) {
-            const std::optional<duration> said =
+            const std::optional<duration> delay =
                 parse_retry_after(field.value, headers.value_or_empty("Date"));
-            longest = std::max(longest, said);
+            longest = std::max(longest, delay);
         }
     }
     return longest;
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -22,9 +22,9 @@
 
 } // namespace
 
-relay::relay(event_loop& loop, const wire_dialect& dialect, rollout_tracker& releases, chart endpoint_life,
-             chart request_life, const relay_settings& settings)
-    : state_{loop, dialect, releases, std::move(endpoint_life), std::move(request_life), settings},
+relay::relay(event_loop& loop, const wire_dialect& dialect, rollout_tracker& releases, chart endpoint_chart,
+             chart request_chart, const relay_settings& settings)
+    : state_{loop, dialect, releases, std::move(endpoint_chart), std::move(request_chart), settings},
       end_confirmation_{state_.pool,
                         [this](const std::vector<suspected_end>& suspects) { on_endpoint_ended(suspects); }} {
     caller_events_.on_request = [this](const auto& caller, caller_request&& request) {
@@ -123,32 +123,33 @@
 }
 
 void relay::report_connection_refused(const std::string& endpoint) {
-    const bool is_news =
+    const bool should_announce =
         state_.endpoints.allowance().cold().on_refused(endpoint, duration::zero(), monotonic_now());
-    if (is_news && state_.on_connection_refused) {
+    if (should_announce && state_.on_connection_refused) {
         state_.on_connection_refused(endpoint);
     }
 }
 
-void relay::record_statement(const endpoint_record& endpoint, const endpoint_statement& said,
+void relay::record_statement(const endpoint_record& endpoint, const endpoint_statement& statement,
                              time_point sent_at, const std::string& request) {
     const time_point now = monotonic_now();
-    const statement_effects news = state_.endpoints.allowance().note(endpoint, said, sent_at, now);
-    if (said.rate_limit) {
+    const statement_effects effects = state_.endpoints.allowance().note(endpoint, statement, sent_at, now);
+    if (statement.rate_limit) {
         state_.measured.count("answers_naming_a_limit");
     }
-    if (news.has_back_off) {
+    if (effects.has_back_off) {
         state_.measured.count("endpoints_asking_for_rest");
-        log_info("endpoint_back_off",
-                 {{"endpoint", endpoint.name}, {"rest_ms", to_ms(*said.back_off)}, {"request", request}});
+        log_info(
+            "endpoint_back_off",
+            {{"endpoint", endpoint.name}, {"rest_ms", to_ms(*statement.back_off)}, {"request", request}});
     }
-    if (news.is_newly_leaving) {
+    if (effects.is_newly_leaving) {
         state_.measured.count("endpoints_saying_they_leave");
         log_info("endpoint_leaving", {{"endpoint", endpoint.name}, {"request", request}});
     }
-    if (news.is_limit_changed) {
+    if (effects.is_limit_changed) {
         log_info("endpoint_rate_limit", {{"endpoint", endpoint.name},
-                                         {"requests_per_s", said.rate_limit.value_or(logged_no_limit)},
+                                         {"requests_per_s", statement.rate_limit.value_or(logged_no_limit)},
                                          {"request", request},
                                          {"asked_ms_ago", to_ms(now - sent_at)}});
         if (state_.on_limits_changed) {
--- a/src/relay/relay.h
+++ b/src/relay/relay.h
@@ -35,35 +35,35 @@
 /** The state shared by all exchanges of a relay. */
 struct relay_state {
     relay_state(event_loop& event_loop_in, const wire_dialect& wire, rollout_tracker& tracker,
-                chart endpoint_life, chart request_life_in, const relay_settings& relay_settings_in)
+                chart endpoint_chart, chart request_chart_in, const relay_settings& relay_settings_in)
         : loop{event_loop_in},
           dialect{wire},
           releases{tracker},
           settings{relay_settings_in},
-          request_life{std::move(request_life_in)},
-          endpoints{std::move(endpoint_life), placement_hash(relay_settings_in.host),
+          request_chart{std::move(request_chart_in)},
+          endpoints{std::move(endpoint_chart), placement_hash(relay_settings_in.host),
                     relay_settings_in.failure_domain, relay_settings_in.in_use,
                     send_allowance{relay_settings_in.host,
                                    cold_endpoints{relay_settings_in.host, relay_settings_in.cold,
                                                   relay_settings_in.cold_sharing}}},
           pool{event_loop_in.context()},
           quarantine{relay_settings_in.host},
-          fence{relay_settings_in.revoke_bound, fence_margin},
+          freshness{relay_settings_in.revoke_bound, freshness_margin},
           first_events{relay_settings_in.in_use.learns_reading_time} {}
 
     /// Part of the revocation bound that is reserved for the delay of the caller's link and for differences
     /// between clock rates.
-    static constexpr duration fence_margin = milliseconds(300);
+    static constexpr duration freshness_margin = milliseconds(300);
 
     event_loop& loop;
     const wire_dialect& dialect;
     rollout_tracker& releases;
     relay_settings settings;
-    chart request_life; ///< charts/relay.scxml
+    chart request_chart; ///< charts/relay.scxml
     endpoint_directory endpoints;
     connection_pool pool;
     crash_quarantine quarantine;
-    config_freshness fence;
+    config_freshness freshness;
     first_event_estimate first_events;
     std::map<std::string, retry_budget> retry_budgets;   ///< budgets of retries, by service
     std::map<std::string, retry_budget> cascade_budgets; ///< budgets of cascade steps up, by service
@@ -94,8 +94,8 @@
 /** Accepts callers and owns their exchanges. */
 class relay {
 public:
-    relay(event_loop& loop, const wire_dialect& dialect, rollout_tracker& releases, chart endpoint_life,
-          chart request_life, const relay_settings& settings);
+    relay(event_loop& loop, const wire_dialect& dialect, rollout_tracker& releases, chart endpoint_chart,
+          chart request_chart, const relay_settings& settings);
     ~relay();
     relay(const relay&) = delete;
     relay& operator=(const relay&) = delete;
@@ -132,8 +132,8 @@
     void set_cold_services();
     void report_connection_refused(const std::string& endpoint);
     /** Records what \p endpoint stated about itself in its answer to \p request. */
-    void record_statement(const endpoint_record& endpoint, const endpoint_statement& said, time_point sent_at,
-                          const std::string& request);
+    void record_statement(const endpoint_record& endpoint, const endpoint_statement& statement,
+                          time_point sent_at, const std::string& request);
     void on_endpoint_ended(const std::vector<suspected_end>& suspects);
     void clear_suspicion(request_digest digest);
     void on_quarantine_changed();
--- a/src/relay/wire_dialect.h
+++ b/src/relay/wire_dialect.h
@@ -45,7 +45,7 @@
     bool has_receipt = false;    ///< without a receipt, a successful answer is treated as broken
     std::string request_id;
     std::optional<int> confidence; ///< the model's confidence in its answer, 0 to 100
-    endpoint_statement says;       ///< the endpoint's statement about itself
+    endpoint_statement statement;  ///< the endpoint's statement about itself
 };
 
 /** Reads and writes the header fields of requests and answers. */
--- a/test/back_offs_test.cpp
+++ b/test/back_offs_test.cpp
@@ -15,13 +15,13 @@
 }
 
 // Guards against a second rejection that shortens the backoff period requested by the first.
-RC_GTEST_PROP(back_offs, the_latest_end_of_all_periods_counts, (const std::vector<std::uint16_t>& rests)) {
+RC_GTEST_PROP(back_offs, the_latest_end_of_all_periods_counts, (const std::vector<std::uint16_t>& periods)) {
     back_offs backing_off;
     time_point now = start;
     time_point until = start;
-    for (const std::uint16_t rest_ms : rests) {
-        backing_off.note(engine(), milliseconds(rest_ms), now);
-        until = std::max(until, now + milliseconds(rest_ms));
+    for (const std::uint16_t period_ms : periods) {
+        backing_off.note(engine(), milliseconds(period_ms), now);
+        until = std::max(until, now + milliseconds(period_ms));
         RC_ASSERT(backing_off.may_send_within("e", until - now, now));
         RC_ASSERT(until == now || !backing_off.may_send_within("e", until - now - duration(1), now));
         now += milliseconds(100);
--- a/test/cold_endpoints_test.cpp
+++ b/test/cold_endpoints_test.cpp
@@ -199,9 +199,9 @@
         directory.allowance().cold().set_services({{"pool", engine_start}});
     }
     std::optional<placement> choose(time_point now) {
-        endpoint_criteria wish;
-        wish.pool = "pool";
-        return directory.choose(wish, {}, {"", {}}, now);
+        endpoint_criteria criteria;
+        criteria.pool = "pool";
+        return directory.choose(criteria, {}, {"", {}}, now);
     }
     endpoint_directory directory;
 };
--- a/test/endpoint_signals_test.cpp
+++ b/test/endpoint_signals_test.cpp
@@ -79,13 +79,13 @@
     constexpr std::size_t max_in_back_off = 2;
     const scripted_answer refusal{
         "HTTP/1.1 503 Busy\r\nNot-Run: 1\r\nRetry-After: 4\r\nContent-Length: 0\r\n\r\n", false, false};
-    scripted_endpoint resting(std::vector<scripted_answer>(50, refusal));
-    start_relay(route(route_kind::non_idempotent, 1), {resting.address()});
+    scripted_endpoint backing_off(std::vector<scripted_answer>(50, refusal));
+    start_relay(route(route_kind::non_idempotent, 1), {backing_off.address()});
     EXPECT_TRUE(contains(send_request("7"), "HTTP/1.1 503"));
     std::this_thread::sleep_for(std::chrono::milliseconds(500));
-    const std::size_t before = resting.requests().size();
+    const std::size_t before = backing_off.requests().size();
     send_requests(60, milliseconds(50));
-    EXPECT_LE(resting.requests().size() - before, max_in_back_off);
+    EXPECT_LE(backing_off.requests().size() - before, max_in_back_off);
 }
 
 // Guards against new requests to an endpoint that states in an answer that it is leaving, while its entry in
@@ -105,8 +105,8 @@
 TEST_F(endpoint_signals, callers_are_told_when_the_back_off_ends) {
     const scripted_answer refusal{
         "HTTP/1.1 503 Busy\r\nNot-Run: 1\r\nRetry-After: 1.5\r\nContent-Length: 0\r\n\r\n", false, false};
-    scripted_endpoint resting({refusal, {answer_of("7", "served"), false, false}});
-    start_relay(route(route_kind::non_idempotent, 1), {resting.address()});
+    scripted_endpoint backing_off({refusal, {answer_of("7", "served"), false, false}});
+    start_relay(route(route_kind::non_idempotent, 1), {backing_off.address()});
     const time_point asked_at = monotonic_now();
     for (int i = 0; i < 2; ++i) {
         const std::string answer = send_request("7");
@@ -123,11 +123,11 @@
 TEST_F(endpoint_signals, later_attempts_avoid_an_endpoint_in_back_off) {
     const scripted_answer refusal{
         "HTTP/1.1 503 Busy\r\nNot-Run: 1\r\nRetry-After: 3\r\nContent-Length: 0\r\n\r\n", false, false};
-    scripted_endpoint resting(std::vector<scripted_answer>(50, refusal));
+    scripted_endpoint backing_off(std::vector<scripted_answer>(50, refusal));
     scripted_endpoint broken(std::vector<scripted_answer>(50, scripted_answer{"", false, true}));
-    start_relay(route(route_kind::idempotent, 4), {resting.address(), broken.address()});
+    start_relay(route(route_kind::idempotent, 4), {backing_off.address(), broken.address()});
     send_requests(10, milliseconds(20));
-    EXPECT_EQ(resting.requests().size(), 1U);
+    EXPECT_EQ(backing_off.requests().size(), 1U);
 }
 
 } // namespace
--- a/test/placement_test.cpp
+++ b/test/placement_test.cpp
@@ -9,7 +9,7 @@
 const target_model large{"large", {0.03, 1}};
 const target_model small{"small", {0.003, 1}};
 
-chart endpoint_life() {
+chart endpoint_chart() {
     return load_chart_or_exit(LAUREL_SOURCE_DIR "/charts", "endpoint");
 }
 
@@ -27,21 +27,21 @@
     return {tokens, {1, subject, own}, {500, tokens / 2, tokens / 4}};
 }
 
-endpoint_criteria wish_for(const std::string& service) {
-    endpoint_criteria wish;
-    wish.pool = service;
-    return wish;
+endpoint_criteria criteria_for(const std::string& service) {
+    endpoint_criteria criteria;
+    criteria.pool = service;
+    return criteria;
 }
 
 struct directory_fixture {
-    directory_fixture() : directory{endpoint_life(), 7, "hall1"} {
+    directory_fixture() : directory{endpoint_chart(), 7, "hall1"} {
         directory.update(engines(6), now);
         directory.set_slots("pool", 32, 1);
     }
     placement send(const prompt_shape& shape, const target_model& model = large) {
-        const auto chosen = directory.choose(wish_for("pool"), shape, model, now);
+        const auto chosen = directory.choose(criteria_for("pool"), shape, model, now);
         EXPECT_TRUE(chosen);
-        directory.on_sent(*chosen, shape, wish_for("pool"), now);
+        directory.on_sent(*chosen, shape, criteria_for("pool"), now);
         return *chosen;
     }
     endpoint_directory directory;
@@ -97,10 +97,10 @@
     for (const char* domain : {"hall1", "hall2"}) {
         std::set<std::string> used;
         for (std::uint64_t host = 0; host < 4; ++host) {
-            endpoint_directory directory(endpoint_life(), host, domain);
+            endpoint_directory directory(endpoint_chart(), host, domain);
             directory.update(engines(8), time_point{} + seconds(100));
             directory.prefer_own_domain(true);
-            const auto chosen = directory.choose(wish_for("pool"), prompt(42, host, 2000), large,
+            const auto chosen = directory.choose(criteria_for("pool"), prompt(42, host, 2000), large,
                                                  time_point{} + seconds(100));
             EXPECT_EQ(chosen->endpoint.domain, domain);
             used.insert(chosen->endpoint.name);
@@ -117,11 +117,11 @@
 TEST(endpoint_directory, a_long_shared_part_has_one_home_in_a_large_fleet) {
     std::set<std::string> homes;
     for (const char* domain : {"hall1", "hall2"}) {
-        endpoint_directory directory(endpoint_life(), 3, domain);
+        endpoint_directory directory(endpoint_chart(), 3, domain);
         directory.update(engines(8), time_point{} + seconds(100));
         directory.prefer_own_domain(true);
         const auto chosen =
-            directory.choose(wish_for("pool"), prompt(42, 1, 8000), large, time_point{} + seconds(100));
+            directory.choose(criteria_for("pool"), prompt(42, 1, 8000), large, time_point{} + seconds(100));
         homes.insert(chosen->endpoint.name);
     }
     EXPECT_EQ(homes.size(), 1U);
@@ -165,14 +165,16 @@
 // host that has stopped counting for ever.
 TEST(endpoint_directory, load_of_peers_counts) {
     directory_fixture fixture;
-    const auto alone = fixture.directory.choose(wish_for("pool"), prompt(42, 1, 8000), large, fixture.now);
+    const auto alone =
+        fixture.directory.choose(criteria_for("pool"), prompt(42, 1, 8000), large, fixture.now);
     load_by_endpoint load;
     load[alone->endpoint.name] = {6'000, 20};
     fixture.directory.set_peer_load("other", load, fixture.now);
-    const auto beside = fixture.directory.choose(wish_for("pool"), prompt(42, 1, 8000), large, fixture.now);
+    const auto beside =
+        fixture.directory.choose(criteria_for("pool"), prompt(42, 1, 8000), large, fixture.now);
     EXPECT_NE(beside->endpoint.name, alone->endpoint.name);
     const time_point later = fixture.now + seconds(5);
-    const auto after = fixture.directory.choose(wish_for("pool"), prompt(42, 1, 8000), large, later);
+    const auto after = fixture.directory.choose(criteria_for("pool"), prompt(42, 1, 8000), large, later);
     EXPECT_EQ(after->endpoint.name, alone->endpoint.name)
         << "the load of a host that is no longer heard of expires";
 }
@@ -190,15 +192,15 @@
     fixture.directory.set_peer_load("other", busy, fixture.now);
     fixture.directory.update_peer_load("other", {{"e3", {4000, 0}}}, fixture.now);
     EXPECT_EQ(
-        fixture.directory.choose(wish_for("pool"), prompt(1, 2, 8000), large, fixture.now)->endpoint.name,
+        fixture.directory.choose(criteria_for("pool"), prompt(1, 2, 8000), large, fixture.now)->endpoint.name,
         "e4");
     fixture.directory.update_peer_load("other", {{"e4", {9000, 0}}, {"e3", {0, 0}}}, fixture.now);
     EXPECT_EQ(
-        fixture.directory.choose(wish_for("pool"), prompt(1, 2, 8000), large, fixture.now)->endpoint.name,
+        fixture.directory.choose(criteria_for("pool"), prompt(1, 2, 8000), large, fixture.now)->endpoint.name,
         "e3");
     const time_point later = fixture.now + seconds(3);
     fixture.directory.update_peer_load("other", {{"e3", {9000, 0}}}, later);
-    EXPECT_NE(fixture.directory.choose(wish_for("pool"), prompt(1, 2, 8000), large, later)->endpoint.name,
+    EXPECT_NE(fixture.directory.choose(criteria_for("pool"), prompt(1, 2, 8000), large, later)->endpoint.name,
               "e3")
         << "a load that was sent three seconds ago no longer counts";
 }
@@ -213,13 +215,13 @@
     }
     const prompt_shape alone{800, {77}, {800}};
     fixture.directory.set_peer_load("other", load, fixture.now);
-    EXPECT_EQ(fixture.directory.choose(wish_for("pool"), alone, small, fixture.now)->endpoint.domain,
+    EXPECT_EQ(fixture.directory.choose(criteria_for("pool"), alone, small, fixture.now)->endpoint.domain,
               "hall1");
     for (auto& [name, each] : load) {
         each.reading_ms *= 10;
     }
     fixture.directory.set_peer_load("other", load, fixture.now);
-    EXPECT_EQ(fixture.directory.choose(wish_for("pool"), alone, small, fixture.now)->endpoint.domain,
+    EXPECT_EQ(fixture.directory.choose(criteria_for("pool"), alone, small, fixture.now)->endpoint.domain,
               "hall2");
 }
 
@@ -229,12 +231,12 @@
     std::vector<endpoint_record> records = engines(4);
     records[1].release = "v2";
     fixture.directory.update(records, fixture.now);
-    endpoint_criteria wish = wish_for("pool");
-    wish.excluded_release = "v1";
-    EXPECT_EQ(fixture.directory.choose(wish, prompt(1, 2, 900), large, fixture.now)->endpoint.name, "e1");
-    wish.excluded_release = "v2";
-    wish.release = "v1";
-    EXPECT_NE(fixture.directory.choose(wish, prompt(1, 2, 900), large, fixture.now)->endpoint.name, "e1");
+    endpoint_criteria criteria = criteria_for("pool");
+    criteria.excluded_release = "v1";
+    EXPECT_EQ(fixture.directory.choose(criteria, prompt(1, 2, 900), large, fixture.now)->endpoint.name, "e1");
+    criteria.excluded_release = "v2";
+    criteria.release = "v1";
+    EXPECT_NE(fixture.directory.choose(criteria, prompt(1, 2, 900), large, fixture.now)->endpoint.name, "e1");
 }
 
 // Guards against a wrong backlog share. Chats wait for a third of the long prompts ahead of them: with a
@@ -282,11 +284,11 @@
     for (const auto& [subject, has_first_byte] : steps) {
         const prompt_shape shape =
             subject % 5 == 0 ? prompt_shape{} : prompt(subject, subject + 1U, 700 + subject);
-        const auto chosen = fixture.directory.choose(wish_for("pool"), shape, large, fixture.now);
+        const auto chosen = fixture.directory.choose(criteria_for("pool"), shape, large, fixture.now);
         if (!chosen) {
             break;
         }
-        fixture.directory.on_sent(*chosen, shape, wish_for("pool"), fixture.now);
+        fixture.directory.on_sent(*chosen, shape, criteria_for("pool"), fixture.now);
         if (has_first_byte) {
             fixture.directory.on_first_byte(*chosen);
         }
--- a/test/platform_test.cpp
+++ b/test/platform_test.cpp
@@ -264,7 +264,7 @@
     for (const std::string& value : values) {
         headers.add("Server-Limit", value);
     }
-    return header_dialect().read_answer(200, headers).says.rate_limit;
+    return header_dialect().read_answer(200, headers).statement.rate_limit;
 }
 
 TEST(header_dialect, a_rate_limit_is_a_decimal_number_and_the_strictest_applies) {
@@ -280,10 +280,10 @@
     for (const char* value : {"1", "0", "", "yes"}) {
         header_list headers;
         headers.add("Server-Leaving", value);
-        EXPECT_EQ(header_dialect().read_answer(200, headers).says.is_leaving, std::string(value) == "1")
+        EXPECT_EQ(header_dialect().read_answer(200, headers).statement.is_leaving, std::string(value) == "1")
             << value;
     }
-    EXPECT_FALSE(header_dialect().read_answer(200, {}).says.is_leaving);
+    EXPECT_FALSE(header_dialect().read_answer(200, {}).statement.is_leaving);
 }
 
 /** \return the backoff in ms for a response with \p status and these values of Retry-After; -1 if none is
@@ -294,7 +294,7 @@
     for (const std::string& value : values) {
         headers.add("Retry-After", value);
     }
-    const std::optional<duration> back_off = header_dialect().read_answer(status, headers).says.back_off;
+    const std::optional<duration> back_off = header_dialect().read_answer(status, headers).statement.back_off;
     return back_off ? to_ms(*back_off) : -1;
 }
 
--- a/test/rate_limits_test.cpp
+++ b/test/rate_limits_test.cpp
@@ -80,10 +80,10 @@
 TEST(rate_limits, a_limit_learned_after_the_choice_is_detected) {
     rate_limits limits = make_rate_limits("host0");
     on_answer(limits, answer_with(2.0, milliseconds(1000)));
-    EXPECT_TRUE(limits.has_tightened_since("e", start + milliseconds(990)));
-    EXPECT_FALSE(limits.has_tightened_since("e", start + milliseconds(1010)));
+    EXPECT_TRUE(limits.has_changed_since("e", start + milliseconds(990)));
+    EXPECT_FALSE(limits.has_changed_since("e", start + milliseconds(1010)));
     on_answer(limits, answer_with(std::nullopt, milliseconds(1200)));
-    EXPECT_FALSE(limits.has_tightened_since("e", start + milliseconds(1100)));
+    EXPECT_FALSE(limits.has_changed_since("e", start + milliseconds(1100)));
 }
 
 // Guards against the loss of notices that arrive before the list of endpoints.
--- a/test/relay_fixture.h
+++ b/test/relay_fixture.h
@@ -53,9 +53,9 @@
         terms.is_not_run = headers.find("Not-Run") != nullptr || terms.is_misdirected;
         terms.has_receipt = headers.find("Receipt") != nullptr;
         terms.request_id = headers.value_or_empty("Id");
-        terms.says.is_leaving = headers.value_or_empty("Leaving") == "1";
-        terms.says.back_off = retry_after_in(headers);
-        terms.says.rate_limit = parse_decimal(headers.value_or_empty("Limit"));
+        terms.statement.is_leaving = headers.value_or_empty("Leaving") == "1";
+        terms.statement.back_off = retry_after_in(headers);
+        terms.statement.rate_limit = parse_decimal(headers.value_or_empty("Limit"));
         if (const std::string* confidence = headers.find("Confidence")) {
             terms.confidence = static_cast<int>(parse_number(*confidence).value_or(0));
         }
--- a/test/relay_test.cpp
+++ b/test/relay_test.cpp
@@ -468,7 +468,7 @@
     EXPECT_TRUE(contains(send_request("7", "Key: bad\r\n"), "HTTP/1.1 401"));
     EXPECT_TRUE(contains(send_request("7", "Key: good\r\n"), "HTTP/1.1 503"))
         << "the configuration has not been confirmed";
-    loop_.post([this] { relay_->state().fence.confirm(monotonic_now()); });
+    loop_.post([this] { relay_->state().freshness.confirm(monotonic_now()); });
     EXPECT_TRUE(contains(send_request("7", "Key: good\r\n"), "served"));
 }
 
