--- a/src/placement/endpoint_directory.cpp
+++ b/src/placement/endpoint_directory.cpp
@@ -18,9 +18,9 @@
 /// Cost of a running stream in ms: each one lengthens every step of its engine, by 0.02 to 0.07 ms per token.
 constexpr double running_stream_ms = 2.0;
 /// Penalty in ms for an endpoint in another failure domain. Crossing takes under 4 ms, but each caller's
-/// prompt and answer cross as well, and a predicted advantage below this is due to chance as often as not.
-/// The penalty is worth 0.008 and 0.005 at two sites of 7 and 6 hosts. At 75 ms the streams of a third site
-/// take longer while engines of one domain are lost.
+/// prompt and answer cross as well, and a smaller predicted advantage is due to chance about half of the
+/// time. The penalty is worth 0.008 and 0.005 at two sites of 7 and 6 hosts. At 75 ms the streams of a third
+/// site take longer while engines of one domain are lost.
 constexpr double cross_domain_ms = 30.0;
 constexpr double min_reading_ms = 0.001; ///< smaller sums are rounding errors of additions and subtractions
 /// Penalty in ms for an endpoint of another domain whose load is unknown: about the load of an endpoint under
@@ -29,12 +29,12 @@
 /// A shared part of at least this size has one home in the whole fleet and not one in each domain. With a
 /// home in each of six domains, documents of 4,900 tokens that are requested seven times a minute are read
 /// again nearly every time. Reading 1,500 tokens occupies an engine for as long as the penalty for crossing
-/// domains. On a large fleet in a burst, 30 M shared tokens are read again in place of 58 M.
+/// domains. On a large fleet in a burst, 30 M shared tokens are read again instead of 58 M.
 constexpr std::int64_t min_tokens_for_fleet_home = 1500;
 /// Cost to the fleet of reading a shared token again, beyond this request's own wait: the engine's time for
 /// its other requests and the cache space of a second copy. Without this cost the small model, which reads
-/// fast, reads shared parts at whichever engine is idle: on a calm day of 18 engines 2.8 M tokens again, with
-/// it 2.3 M.
+/// fast, reads shared parts at whichever engine is idle: 18 engines at low load read 2.8 M shared tokens
+/// again without it and 2.3 M with it.
 constexpr double reread_ms_per_token = 0.02;
 
 std::uint64_t cache_key(std::uint64_t part, const std::string& model) {
--- a/src/placement/endpoint_directory.h
+++ b/src/placement/endpoint_directory.h
@@ -40,7 +40,7 @@
 
 /** Work in flight at one endpoint. */
 struct endpoint_load {
-    /// Time that the prompts without a first token take to read, each by its own model. If it were counted in
+    /// Time to read the prompts that have no first token yet, each with its own model. If it were counted in
     /// tokens, prompts for a large model would look ten times smaller to a request for a small one.
     double reading_ms = 0;
     int running = 0; ///< requests whose answer has begun; for a plain service, requests in flight
@@ -124,8 +124,9 @@
                             const std::string& model, const std::string& home, time_point now) const;
     std::string home_of(const std::vector<endpoint_record>& candidates, const prompt_shape& prompt,
                         const std::string& model) const;
-    /** \param home of the prompt's shared part. An unknown load matters less there, because homes are evenly
-     * distributed. */
+    /** \return the penalty for an endpoint in another failure domain; 0 for this host's domain
+     * \param home home endpoint of the prompt's shared part, or empty. The penalty for an unknown load does
+     * not apply to it, because homes are evenly distributed. */
     double domain_penalty_ms(const endpoint_record& endpoint, const std::string& home) const;
     void forget_old_parts(engine_cache& cache, time_point now);
 
--- a/src/placement/first_event_estimate.cpp
+++ b/src/placement/first_event_estimate.cpp
@@ -13,16 +13,16 @@
 constexpr double prior_answers = 10;
 constexpr double prior_tokens = 2'000;
 constexpr double prior_backlog_ms = 100;
-/// Factor on the weight of earlier answers with each new one. About 50 answers count, which are a few seconds
-/// of a host's traffic.
+/// Factor by which each new answer reduces the weight of the earlier ones. The effective number of answers is
+/// about 50, a few seconds of a host's traffic.
 constexpr double decay = 0.98;
 constexpr double min_informative_tokens = 500; ///< fewer take less time than the variation of the network
 constexpr double min_expected_ms = 20; ///< smaller differences come from the network, not from the engine
 /// A sample is capped at this multiple of the expected time: a slower answer indicates a failing engine and
 /// not a slower model.
 constexpr double max_over_expected = 3;
-constexpr double max_cost_factor =
-    20; ///< bounds the learned cost per token to the initial cost divided or multiplied by this
+/// The learned cost per token stays between the initial cost divided by this and multiplied by this.
+constexpr double max_cost_factor = 20;
 constexpr double max_backlog_share = 1.5;
 
 double initial_cost(std::size_t rank) {
--- a/src/placement/leaving_endpoints.h
+++ b/src/placement/leaving_endpoints.h
@@ -22,7 +22,7 @@
      * \return whether this was not known before */
     bool note(const endpoint_record& endpoint, time_point now);
     bool is_leaving(const endpoint_record& endpoint) const;
-    /** \return whether \p endpoint announced this at or after \p chosen_at. */
+    /** \return whether \p endpoint announced at or after \p chosen_at that it is leaving. */
     bool has_begun_since(const endpoint_record& endpoint, time_point chosen_at) const;
 
 private:
--- a/src/placement/rate_limits.h
+++ b/src/placement/rate_limits.h
@@ -77,7 +77,8 @@
     /** \return whether this host may send a request to \p endpoint within \p max_wait. */
     bool may_send_within(const std::string& endpoint, duration max_wait, time_point now) const;
     void on_sent(const std::string& endpoint, time_point now);
-    /** \return whether \p endpoint is limited and its limit changed at or after \p chosen_at. */
+    /** \return whether \p endpoint has a limit and this host learned of it, or of a change of it, at or after
+     * \p chosen_at. */
     bool has_changed_since(const std::string& endpoint, time_point chosen_at) const;
     /** \return the estimated time until a limited endpoint of \p service takes a request from some host, or
      * nothing if none is limited */
--- a/src/placement/send_allowance.h
+++ b/src/placement/send_allowance.h
@@ -48,7 +48,8 @@
 /** All reasons of one host for not sending to an endpoint. No I/O; the time is an argument. */
 class send_allowance {
 public:
-    /** \param host name of this host \param cold cold endpoints as this host sees them */
+    /** \param host name of this host
+     * \param cold cold endpoints as this host sees them */
     send_allowance(std::string host, cold_endpoints cold);
 
     void update(const std::vector<endpoint_record>& endpoints, time_point now);
--- a/src/recovery/crash_quarantine.h
+++ b/src/recovery/crash_quarantine.h
@@ -10,8 +10,9 @@
  * had passed nothing on to the caller, and if the attempt was sent after the previous counted end. The loss
  * of a whole failure domain thus counts once, however many copies of a common question were in flight there.
  * One complete answer clears a request. After \ref ends_to_quarantine ends it is quarantined: no host sends
- * it. Example: sent at 0 s, process 1 ended at 0.1 s; a copy sent at 0.05 s ends process 2 at 0.2 s, which
- * does not count; sent again at 0.2 s, process 3 ended at 0.3 s: two ends count.
+ * it. Example: an attempt is sent at 0 s and ends process 1 at 0.1 s. A copy is sent at 0.05 s and ends
+ * process 2 at 0.2 s; this end does not count, because the copy was sent before process 1 ended. A third
+ * attempt is sent at 0.2 s and ends process 3 at 0.3 s. Two ends count.
  *
  * A quarantine may be wrong, so the request is tried again, by one host and with one attempt, after a delay
  * that grows with each end. All other hosts go on refusing it until it is cleared.
@@ -28,8 +29,8 @@
 
 namespace laurelhoist {
 
-/// Where many engines end for other reasons, an innocent request is often in flight at one end, sometimes at
-/// two consecutive ones, and hardly ever at three.
+/// Number of counted ends that quarantine a request. Where many engines end for other reasons, an innocent
+/// request is often in flight at one end, sometimes at two consecutive ones, and hardly ever at three.
 constexpr int ends_to_quarantine = 3;
 /// From this many ends on all hosts are told, so that a complete answer at any of them clears the request. A
 /// single end concerns only the hosts that count it, \ref trackers_of.
--- a/src/relay/attempt_rules.cpp
+++ b/src/relay/attempt_rules.cpp
@@ -21,8 +21,8 @@
     return context.is_expired ? follow_up_step::expire : follow_up_step::fail;
 }
 
-/// Streams last up to 5 s at the usual load, so a stream that starts this early in a stop of 7.5 s ends
-/// before the process does.
+/// Time from the start of a planned stop during which streams are accepted. Streams last up to 5 s at the
+/// usual load, so a stream that starts within this time ends before a stop of 7.5 s does.
 constexpr duration stream_start_window = milliseconds(2500);
 
 } // namespace
--- a/src/relay/endpoint_connection.cpp
+++ b/src/relay/endpoint_connection.cpp
@@ -15,7 +15,7 @@
 
 /// Idle connections kept for one endpoint. Endpoints limit their connections from all hosts together and
 /// reset any beyond the limit. Each request that may not be repeated opens a new connection, and without this
-/// bound the kept ones used up the endpoint's limit.
+/// bound the idle ones would use up the endpoint's limit.
 constexpr std::size_t max_idle_connections = 3;
 
 } // namespace
--- a/src/relay/exchange.cpp
+++ b/src/relay/exchange.cpp
@@ -13,8 +13,8 @@
 /// Connecting within a network takes a few ms; an endpoint that takes longer than this is unreachable.
 constexpr duration connect_timeout = milliseconds(1000);
 /// Number of unreachable endpoints after which a request is no longer sent to another one. With two in three
-/// endpoints gone, one in 25 requests meets eight of these in sequence. With a limit of 3, one in three
-/// requests was refused although healthy endpoints were available.
+/// endpoints gone, one in 25 requests meets eight of these in sequence. A limit of 3 refuses one in
+/// three requests although healthy endpoints are available.
 constexpr int max_unreachable_endpoints = 8;
 /// A stream has stalled after a pause of this many times the route's gap objective.
 constexpr int gap_objectives_to_stall = 4;
@@ -353,7 +353,7 @@
     send_request();
 }
 
-// Called when the endpoint was barred while the connection was being made. Nothing has been sent, and the
+// Called when the endpoint was excluded while the connection was being made. Nothing has been sent, and the
 // attempt does not count against the endpoint.
 void exchange::cancel_and_redispatch() {
     state_.measured.count("attempts_placed_again");
@@ -430,8 +430,8 @@
 
 void exchange::end_attempt(attempt_end end) {
     may_have_run_ = may_have_run_ || !proves_not_run(end);
-    // A requested back-off is not a failure: counted as one, it would exclude the endpoint for longer than
-    // asked.
+    // A requested backoff is not a failure. Counted as one, it would exclude the endpoint for longer than the
+    // endpoint asked for.
     const bool asks_for_back_off = end == attempt_end::refused && answer().statement.back_off;
     settle_attempt(asks_for_back_off ? call_result::cancelled : to_call_result(end), evidence_of(end));
     release_connection(end == attempt_end::refused || end == attempt_end::failed ||
@@ -572,8 +572,8 @@
 
 void exchange::log_attempt(attempt_end end) {
     const placement& chosen = attempt_.chosen;
-    // The digest is logged only if the endpoint may have ended, to show whether the same request did it
-    // before.
+    // The digest is logged only if the endpoint's process may have ended. It shows whether earlier ends
+    // happened under the same request.
     const std::string known_by = end == attempt_end::broken ? to_text(digest()) : std::string{};
     const duration back_off =
         answer_ ? answer_->statement.back_off.value_or(duration::zero()) : duration::zero();
--- a/src/relay/exchange.h
+++ b/src/relay/exchange.h
@@ -64,7 +64,7 @@
     bool admit_team();
     void pick_service();
     void dispatch();
-    /** Models that could answer and where, in the same order. */
+    /** The models that could answer and, at the same index, the placement of each. */
     struct model_placements {
         std::vector<model_option> options;
         std::vector<placement> placements;
@@ -167,7 +167,7 @@
     bool may_have_run_ = false;
     bool has_begun_answer_ = false;
     bool is_caller_gone_ = false;
-    bool has_excess_bytes_ = false; ///< the connection carried bytes beyond this request's answer
+    bool has_excess_bytes_ = false; ///< bytes arrived that are not part of this request's answer
 };
 
 } // namespace laurelhoist
--- a/src/relay/exchange_quarantine.cpp
+++ b/src/relay/exchange_quarantine.cpp
@@ -34,7 +34,7 @@
     }
     auto self = shared_from_this();
     if (connection_) {
-        // An endpoint drops a waiting request when its connection closes.
+        // Closing the connection makes the endpoint drop the request if it is still queued there.
         may_have_run_ = may_have_run_ || is_in_state("asked");
         settle_attempt(call_result::cancelled, release_evidence::none);
         release_connection(false);
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -15,8 +15,8 @@
 /// wake-ups of a timer for each request.
 constexpr duration tick_interval = milliseconds(50);
 constexpr std::uint64_t ticks_between_sweeps = 5; ///< sweeps check connections, probes and the quarantine
-/// Requests that an endpoint of a service without an engine profile is assumed to run at once. Within this, a
-/// host's concurrency limit follows the endpoint's answers.
+/// Number of requests that an endpoint is assumed to run at once if its service has no engine profile. Up to
+/// this number, a host's concurrency limit follows the endpoint's answers.
 constexpr int default_slots = 6;
 constexpr double logged_no_limit = -1; ///< logged as the rate of an endpoint without a limit
 
--- a/test/endpoint_signals_test.cpp
+++ b/test/endpoint_signals_test.cpp
@@ -1,4 +1,5 @@
-// Tests how the relay reacts to rate limits, back-off requests and leaving notices in endpoints' answers.
+// Tests how the relay reacts when endpoints state in their answers a rate limit, a backoff period or that
+// they are leaving.
 #include "relay_fixture.h"
 
 namespace laurelhoist {
@@ -74,7 +75,7 @@
     EXPECT_EQ(send_requests(5, milliseconds(1)), 0);
 }
 
-// Guards against a host that keeps sending to an endpoint that has asked for a back-off.
+// Guards against a host that keeps sending to an endpoint that has asked for a backoff.
 TEST_F(endpoint_signals, a_requested_back_off_is_respected) {
     constexpr std::size_t max_in_back_off = 2;
     const scripted_answer refusal{
@@ -100,7 +101,7 @@
     EXPECT_EQ(leaving.requests().size(), 1U);
 }
 
-// Guards against callers who are told to retry before the back-off of the only endpoint has ended, or who are
+// Guards against callers who are told to retry before the backoff of the only endpoint has ended, or who are
 // kept waiting until then.
 TEST_F(endpoint_signals, callers_are_told_when_the_back_off_ends) {
     const scripted_answer refusal{
@@ -119,7 +120,7 @@
     EXPECT_TRUE(contains(send_request("7"), "served")) << "the back-off does not count as a failure";
 }
 
-// Guards against retries that go to an endpoint in back-off after all other endpoints have been tried.
+// Guards against retries that go to an endpoint in backoff after all other endpoints have been tried.
 TEST_F(endpoint_signals, later_attempts_avoid_an_endpoint_in_back_off) {
     const scripted_answer refusal{
         "HTTP/1.1 503 Busy\r\nNot-Run: 1\r\nRetry-After: 3\r\nContent-Length: 0\r\n\r\n", false, false};
--- a/test/rate_limits_test.cpp
+++ b/test/rate_limits_test.cpp
@@ -210,17 +210,17 @@
             }
             host.first_told_at = host.first_told_at.value_or(now_);
             if (host.limits.note(engine("e"), {limit_, given.sent_at, now_}, now_)) {
-                const std::vector<limit_notice> news = host.limits.take_pending(now_);
+                const std::vector<limit_notice> notices = host.limits.take_pending(now_);
                 for (std::size_t other = 0; other < hosts_.size(); ++other) {
-                    send_notices(other, news);
+                    send_notices(other, notices);
                 }
             }
         }
     }
 
-    void send_notices(std::size_t other, const std::vector<limit_notice>& news) {
+    void send_notices(std::size_t other, const std::vector<limit_notice>& notices) {
         if (hosts_[other].is_alive && random_.uniform() >= loss_) {
-            hosts_[other].limits.merge(news, now_);
+            hosts_[other].limits.merge(notices, now_);
         }
     }
 
@@ -229,9 +229,9 @@
         if (!host.is_alive) {
             return;
         }
-        constexpr std::uint64_t ticks_of_upkeep = 5;
-        constexpr std::uint64_t ticks_of_round = 8;
-        if ((ticks_ + number) % ticks_of_upkeep == 0) {
+        constexpr std::uint64_t ticks_per_update = 5;
+        constexpr std::uint64_t ticks_per_gossip_round = 8;
+        if ((ticks_ + number) % ticks_per_update == 0) {
             if (!host.removes.host.empty() && now_ >= host.removes.at) {
                 host.view.erase(
                     std::remove_if(host.view.begin(), host.view.end(),
@@ -241,7 +241,7 @@
             const bool has_full_view = host.started_at == time_point{} || now_ - host.started_at > seconds(3);
             host.limits.set_hosts({host.view, has_full_view}, now_);
         }
-        if ((ticks_ + number) % ticks_of_round == 0) {
+        if ((ticks_ + number) % ticks_per_gossip_round == 0) {
             for (int i = 0; i < 3; ++i) {
                 send_notices(random_.below(hosts_.size()), host.limits.next_to_gossip(8, now_));
             }
--- a/test/recovery_test.cpp
+++ b/test/recovery_test.cpp
@@ -281,8 +281,8 @@
     }
 
     void send(std::size_t to, const std::vector<crash_notice>& notices) {
-        constexpr std::size_t lost_in = 20;
-        if (notices.empty() || below(lost_in) == 0) {
+        constexpr std::size_t one_lost_in = 20;
+        if (notices.empty() || below(one_lost_in) == 0) {
             return;
         }
         after(now_ + 1 + static_cast<std::int64_t>(below(20)), [this, to, notices] {
@@ -369,7 +369,7 @@
     };
     constexpr std::size_t engines = 18;
     constexpr std::int64_t down_ms = 3000;
-    constexpr int most_attempts = 3;
+    constexpr int max_attempts = 3;
     constexpr request_digest common_questions = 20;
     std::mt19937 random(seed);
     crash_quarantine quarantine("h1");
@@ -416,7 +416,7 @@
             if (quarantine.ends_of(each.digest) >= ends_to_quarantine) {
                 quarantined.insert(each.digest);
             }
-            if (each.attempt < most_attempts) {
+            if (each.attempt < max_attempts) {
                 send(each.digest, now, each.attempt + 1);
             }
         }
--- a/test/relay_test.cpp
+++ b/test/relay_test.cpp
@@ -51,6 +51,8 @@
     RC_ASSERT(!has_begun || step == follow_up_step::abort_answer || step == follow_up_step::retry);
 }
 
+// Guards against refusing a request that may not be repeated although its only attempt never reached an
+// endpoint, and against sending it again once its attempts are used up.
 TEST(attempt_rules, an_unsent_request_is_retried_even_if_it_is_not_repeatable) {
     retry_context context;
     context.max_attempts = 1;
@@ -75,6 +77,7 @@
     EXPECT_FALSE(can_finish_before_stop(drafts, seconds(3), milliseconds(7500)));
 }
 
+// Guards against a caller receiving part of an event, when an event arrives in two pieces.
 TEST(event_joiner, forwards_complete_events_only) {
     event_joiner joiner(0);
     std::string out;
@@ -97,6 +100,7 @@
     EXPECT_EQ(out, event(1) + event(2) + event(3));
 }
 
+// Guards against a stream that lacks an event, when a run resumes after a later event than it was asked to.
 TEST(event_joiner, a_gap_is_reported) {
     event_joiner joiner(4);
     std::string out;
@@ -104,6 +108,7 @@
     EXPECT_TRUE(out.empty());
 }
 
+// Guards against lost, repeated or reordered bytes when events arrive in pieces of any size.
 RC_GTEST_PROP(event_joiner, the_stream_does_not_depend_on_how_the_bytes_are_split,
               (const std::vector<std::uint8_t>& cuts)) {
     std::string whole;
@@ -122,6 +127,8 @@
     RC_ASSERT(out == whole);
 }
 
+// Guards against an answer that is taken for complete too early or never, with each of the three ways in
+// which HTTP marks its end.
 TEST(answer_reader, reads_length_chunks_and_end_of_connection) {
     std::string body;
     answer_reader by_length(false);
@@ -140,6 +147,8 @@
     EXPECT_FALSE(unframed.keeps_alive());
 }
 
+// Guards against bytes of the next answer on the connection being read as part of this one, and against bytes
+// that are not HTTP being accepted.
 TEST(answer_reader, reports_how_many_bytes_belong_to_the_answer) {
     std::string body;
     answer_reader reader(false);
@@ -149,6 +158,7 @@
     EXPECT_EQ(garbage.feed("\x16\x03\x01 no answer\r\n\r\n", body), std::nullopt);
 }
 
+// Guards against a crash of the host when an endpoint sends arbitrary bytes.
 RC_GTEST_PROP(answer_reader, accepts_or_rejects_arbitrary_bytes_without_a_crash, (const std::string& bytes)) {
     std::string body;
     answer_reader reader(false);
@@ -165,6 +175,7 @@
     EXPECT_EQ(reader.advance(), request_reader::progress::malformed);
 }
 
+// Guards against requests that exhaust the memory, and against telling the caller the wrong limit.
 TEST(request_reader, header_and_body_limits_are_reported_separately) {
     request_reader header_bound(64, 10);
     header_bound.feed("GET /a/ HTTP/1.1\r\nHost: x\r\nLong: " + std::string(200, 'a') + "\r\n\r\n");
@@ -174,6 +185,7 @@
     EXPECT_EQ(body_bound.advance(), request_reader::progress::body_too_large);
 }
 
+// Guards against a loss of bytes when the start of the next request arrives together with the present one.
 TEST(request_reader, reads_one_request_after_another) {
     request_reader reader(4096, 100);
     reader.feed("POST /a/?b=c HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: "
@@ -189,6 +201,7 @@
     EXPECT_EQ(reader.take().method, "GET");
 }
 
+// Guards against a change of the status, the end-to-end header fields or the body of an answer.
 TEST_F(relay_fixture, an_answer_is_forwarded_unchanged) {
     scripted_endpoint endpoint({{answer_of("7", "whole body", "Kept: yes\r\n"), false, false}});
     start_relay(route(route_kind::idempotent, 2), {endpoint.address()});
@@ -207,6 +220,8 @@
     EXPECT_EQ(endpoint.requests().size(), 1U);
 }
 
+// Guards against failing a request that may be repeated, when an endpoint's connection breaks in the middle
+// of the answer and another endpoint is available.
 TEST_F(relay_fixture, a_lost_answer_of_an_idempotent_request_is_retried) {
     scripted_endpoint broken({{"HTTP/1.1 200 OK\r\nId: 7\r\nContent-Length: 50\r\n\r\nhalf", false, true}});
     scripted_endpoint sound({{answer_of("7", "whole"), false, false}});
@@ -214,6 +229,8 @@
     EXPECT_TRUE(contains(send_request("7"), "whole"));
 }
 
+// Guards against a refused request being reported as one that may have run, so that its caller does not dare
+// to repeat it.
 TEST_F(relay_fixture, a_refusal_by_the_endpoint_is_answered_as_not_run) {
     scripted_endpoint full({{"HTTP/1.1 503 Busy\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n", false, false}});
     start_relay(route(route_kind::non_idempotent, 1), {full.address()});
@@ -347,6 +364,7 @@
         << "other requests are still served";
 }
 
+// Guards against forwarding a success that the endpoint has not confirmed with a receipt.
 TEST_F(relay_fixture, a_success_without_a_receipt_is_answered_with_502) {
     scripted_endpoint endpoint({{"HTTP/1.1 200 OK\r\nId: 7\r\nContent-Length: 2\r\n\r\nok", false, false}});
     start_relay(route(route_kind::non_idempotent, 1), {endpoint.address()});
@@ -425,6 +443,8 @@
     EXPECT_EQ(counts[0].good, 1);
 }
 
+// Guards against a partial stream that looks complete, when its endpoint's connection breaks and no attempt
+// is left.
 TEST_F(relay_fixture, a_stream_that_cannot_resume_does_not_look_complete) {
     scripted_endpoint endpoint({{stream_head("7") + chunk_of(event(1)), false, true}});
     start_relay(route(route_kind::stream, 1), {endpoint.address()});
@@ -450,6 +470,7 @@
     EXPECT_TRUE(contains(endpoint.requests()[1], "Model: large"));
 }
 
+// Guards against asking a larger model although the small model's answer is confident enough.
 TEST_F(relay_fixture, a_confident_answer_of_the_small_model_is_accepted) {
     dialect_.route_tokens = 1000;
     scripted_endpoint endpoint(
@@ -461,6 +482,8 @@
     EXPECT_EQ(endpoint.requests().size(), 1U);
 }
 
+// Guards against accepting a missing, unknown or withdrawn key. Until the configuration is confirmed, a host
+// cannot tell whether a key that it knows has been withdrawn.
 TEST_F(relay_fixture, an_unknown_key_is_refused_and_a_known_one_waits_for_confirmation) {
     scripted_endpoint endpoint({{answer_of("7", "served"), false, false}});
     start_relay(route(route_kind::idempotent, 1), {endpoint.address()}, {{"osijek", {"good"}, std::nullopt}});
@@ -472,6 +495,7 @@
     EXPECT_TRUE(contains(send_request("7", "Key: good\r\n"), "served"));
 }
 
+// Guards against callers who wait in vain when a service has no endpoints.
 TEST_F(relay_fixture, a_missing_endpoint_is_reported_at_once) {
     start_relay(route(route_kind::idempotent, 1), {});
     EXPECT_TRUE(contains(send_request("7"), "HTTP/1.1 503"));
@@ -486,6 +510,7 @@
     EXPECT_EQ(send_request("q1").rfind("HTTP/1.1 200", 0), 0U);
 }
 
+// Guards against callers who wait until their time limit at a host that cannot read its configuration.
 TEST_F(relay_fixture, without_a_configuration_a_request_is_refused_soon) {
     configured_after_ = seconds(60);
     start_relay(route(route_kind::idempotent, 1), {});
