--- a/src/relay/exchange.cpp
+++ b/src/relay/exchange.cpp
@@ -13,8 +13,8 @@
 /// Connecting within a network takes a few ms; an endpoint that takes longer than this is unreachable.
 constexpr duration connect_timeout = milliseconds(1000);
 /// Number of unreachable endpoints after which a request is no longer sent to another one. With two in three
-/// endpoints gone, one in 25 requests meets eight of these in sequence. With a limit of 3, one in three
-/// requests was refused although healthy endpoints were available.
+/// endpoints gone, one in 25 requests meets eight of these in sequence. A limit of 3 refuses one in
+/// three requests although healthy endpoints are available.
 constexpr int max_unreachable_endpoints = 8;
 /// A stream has stalled after a pause of this many times the route's gap objective.
 constexpr int gap_objectives_to_stall = 4;
@@ -91,10 +91,10 @@
       state_{owner.state()},
       caller_{std::move(caller)},
       request_{std::move(request)},
-      exchange_state_{state_.request_life.initial()} {}
+      exchange_state_{state_.request_chart.initial()} {}
 
 void exchange::apply_event(const char* event) {
-    const outcome<std::string> next = state_.request_life.next(exchange_state_, event);
+    const outcome<std::string> next = state_.request_chart.next(exchange_state_, event);
     const std::string* target = value_of(next);
     if (invariant("relay_follows_its_chart", target != nullptr, [&] {
             return json{{"phase", exchange_state_}, {"event", event}, {"request", terms_.id}};
@@ -281,7 +281,7 @@
             }
         }
         if (!state_.endpoints.could_serve(service_, now)) {
-            report_barred_endpoints(now);
+            log_excluded_endpoints(now);
             answer_failure(may_have_run_ ? status_bad_gateway : status_unavailable, "no_endpoint",
                            "retry later: no endpoint of the service accepts work", time_to_capacity(now));
         }
@@ -290,11 +290,11 @@
     open_connection();
 }
 
-void exchange::report_barred_endpoints(time_point now) {
+void exchange::log_excluded_endpoints(time_point now) {
     json reasons = json::object();
-    for (const auto& [bar, count] : state_.endpoints.count_exclusions(service_, now)) {
-        reasons[to_string(bar)] = count;
-        state_.measured.count(std::string("requests_barred_") + to_string(bar));
+    for (const auto& [reason, count] : state_.endpoints.count_exclusions(service_, now)) {
+        reasons[to_string(reason)] = count;
+        state_.measured.count(std::string("requests_barred_") + to_string(reason));
     }
     log_info("no_endpoint_allowed",
              {{"request", terms_.id}, {"service", service_}, {"endpoints_barred", reasons}});
@@ -353,7 +353,7 @@
     send_request();
 }
 
-// Called when the endpoint was barred while the connection was being made. Nothing has been sent, and the
+// Called when the endpoint was excluded while the connection was being made. Nothing has been sent, and the
 // attempt does not count against the endpoint.
 void exchange::cancel_and_redispatch() {
     state_.measured.count("attempts_placed_again");
@@ -409,9 +409,9 @@
 }
 
 duration exchange::idle_time() const {
-    const std::optional<duration> said = keep_alive_time(reader_->headers());
-    return said ? std::min(default_idle_time, std::max<duration>(duration::zero(), *said - idle_margin))
-                : default_idle_time;
+    const std::optional<duration> stated = keep_alive_time(reader_->headers());
+    return stated ? std::min(default_idle_time, std::max<duration>(duration::zero(), *stated - idle_margin))
+                  : default_idle_time;
 }
 
 void exchange::release_connection(bool is_reusable) {
@@ -430,10 +430,10 @@
 
 void exchange::end_attempt(attempt_end end) {
     may_have_run_ = may_have_run_ || !proves_not_run(end);
-    // A requested back-off is not a failure: counted as one, it would exclude the endpoint for longer than
-    // asked.
-    const bool asks_for_rest = end == attempt_end::refused && answer().says.back_off;
-    settle_attempt(asks_for_rest ? call_result::cancelled : to_call_result(end), evidence_of(end));
+    // A requested backoff is not a failure. Counted as one, it would exclude the endpoint for longer than the
+    // endpoint asked for.
+    const bool asks_for_back_off = end == attempt_end::refused && answer().statement.back_off;
+    settle_attempt(asks_for_back_off ? call_result::cancelled : to_call_result(end), evidence_of(end));
     release_connection(end == attempt_end::refused || end == attempt_end::failed ||
                        end == attempt_end::misdirected);
     log_attempt(end);
@@ -572,15 +572,16 @@
 
 void exchange::log_attempt(attempt_end end) {
     const placement& chosen = attempt_.chosen;
-    // The digest is logged only if the endpoint may have ended, to show whether the same request did it
-    // before.
+    // The digest is logged only if the endpoint's process may have ended. It shows whether earlier ends
+    // happened under the same request.
     const std::string known_by = end == attempt_end::broken ? to_text(digest()) : std::string{};
-    const duration rest = answer_ ? answer_->says.back_off.value_or(duration::zero()) : duration::zero();
+    const duration back_off =
+        answer_ ? answer_->statement.back_off.value_or(duration::zero()) : duration::zero();
     log_info("attempt_ended", {{"request", terms_.id},
                                {"digest", known_by},
                                {"events", events_of_attempt()},
                                {"end", to_string(end)},
-                               {"retry_after_ms", static_cast<std::int64_t>(to_ms(rest))},
+                               {"retry_after_ms", static_cast<std::int64_t>(to_ms(back_off))},
                                {"endpoint", chosen.endpoint.name},
                                {"release", chosen.endpoint.release},
                                {"attempt", attempts_},
--- a/src/relay/exchange.h
+++ b/src/relay/exchange.h
@@ -64,7 +64,7 @@
     bool admit_team();
     void pick_service();
     void dispatch();
-    /** Models that could answer and where, in the same order. */
+    /** The models that could answer and, at the same index, the placement of each. */
     struct model_placements {
         std::vector<model_option> options;
         std::vector<placement> placements;
@@ -80,7 +80,7 @@
     bool is_good_enough(const answer_terms& given);
     /** \return the Retry-After for a service of which no endpoint accepts work, with jitter. */
     duration time_to_capacity(time_point now) const;
-    void report_barred_endpoints(time_point now);
+    void log_excluded_endpoints(time_point now);
     void open_connection();
     void send_request();
     void cancel_and_redispatch();
@@ -167,7 +167,7 @@
     bool may_have_run_ = false;
     bool has_begun_answer_ = false;
     bool is_caller_gone_ = false;
-    bool has_excess_bytes_ = false; ///< the connection carried bytes beyond this request's answer
+    bool has_excess_bytes_ = false; ///< bytes arrived that are not part of this request's answer
 };
 
 } // namespace laurelhoist
